--- /dev/null
+++ b/tests/simulation/scripted_fleet.py
@@ -0,0 +1,174 @@
+"""A small simulated deployment that plays a closed loop with the simulation adapter.
+
+Clients send requests, endpoints serve the attempts that the adapter assigns, discovery tells of endpoints
+that drain, leave, crash and restart, and gateway instances are stopped and started again. All of it is drawn
+from one seed on a virtual clock, so that the same program gives the same bytes each time.
+"""
+
+from __future__ import annotations
+
+import itertools
+import json
+from functools import partial
+
+import wire_frames as frames
+from simulated_endpoints import MEMORY_STEP_MB, Discovery, EndpointFleet
+from stream_scenarios import ANSWER_SLACK, CLASSES, MS, PERIOD, WEIGHTS, S, Scenario, deployment_settings
+from virtual_simulator import Instance, Request, Transcript, VirtualSimulator
+
+FIRST_REQUEST_ID = 1 << 40  # past what fits in 32 bits
+GROUPS, KEYS = 12, 5
+STARTS_AT = S
+
+
+class ScriptedFleet:
+    """Plays one scenario; `play` returns its transcript."""
+
+    def __init__(self, scenario: Scenario) -> None:
+        self._scenario = scenario
+        self._simulator = VirtualSimulator(scenario.seed)
+        self._draw = self._simulator.draw
+        self._request_ids = itertools.count(FIRST_REQUEST_ID, 7)
+        self._instances = [Instance(number) for number in range(scenario.instances)]
+        self._discovery = Discovery(self._simulator, self._instances, pushes=not scenario.subscribes)
+        self._fleet = EndpointFleet(self._simulator, self._discovery, scenario)
+        for _ in range(scenario.endpoints):
+            self._fleet.add_endpoint(started=0)
+
+    def play(self) -> Transcript:
+        self._schedule_arrivals()
+        self._schedule_faults()
+        for actions in self._simulator.play():
+            for action in actions:
+                self._carry_out(action)
+        return self._simulator.transcript
+
+    # The script
+
+    def _schedule_arrivals(self) -> None:
+        scenario = self._scenario
+        for instance in self._instances:
+            self._simulator.at(STARTS_AT, partial(self._start, instance))
+        for _ in range(scenario.rate * scenario.seconds):
+            self._simulator.at(self._draw.randrange(STARTS_AT, scenario.ends_at), self._client_sends)
+
+    def _schedule_faults(self) -> None:
+        """A fault of an endpoint each second; of an instance and of discovery every third."""
+        fleet, simulator = self._fleet, self._simulator
+        faults = (fleet.drain, fleet.crash, fleet.slow_down, fleet.grow)
+        for second in range(2, self._scenario.seconds):
+            simulator.at(self._within(second), self._draw.choice(faults))
+        for second in range(3, self._scenario.seconds, 3):
+            simulator.at(self._within(second), self._discovery.publish_all)
+            simulator.at(self._within(second), self._restart_instance)
+            simulator.at(self._within(second), self._send_mail)
+
+    def _within(self, second: int) -> int:
+        return second * S + self._draw.randrange(S)
+
+    # Gateway instances
+
+    def _start(self, instance: Instance) -> None:
+        instance.run += 1
+        instance.running, instance.subscribed = True, False
+        instance.requests = {}
+        settings = json.dumps(deployment_settings(self._scenario, instance.number)).encode()
+        self._simulator.add(frames.Init(instance.number, self._draw.getrandbits(64), settings))
+        self._discovery.begin(instance)
+
+    def _restart_instance(self) -> None:
+        instance = self._draw.choice(self._instances)
+        if not instance.running:
+            return
+        self._simulator.add(frames.Exit(instance.number))
+        instance.running = False
+        for request in instance.requests.values():
+            for attempt in request.attempts:
+                self._fleet.release(attempt)
+        if self._draw.random() < 0.5:
+            self._start(instance)  # in the batch of the stop
+        else:
+            pause = self._draw.randrange(50, 900) * MS
+            self._simulator.after(pause, partial(self._start, instance))
+
+    def _send_mail(self) -> None:
+        instance = self._draw.choice(self._instances)
+        self._simulator.tell(instance, instance.run, frames.Mail(instance.number))
+
+    # Clients
+
+    def _client_sends(self) -> None:
+        instance = self._draw.choice(self._instances)
+        if not instance.running:
+            return
+        request = self._draw_request(instance)
+        instance.requests[request.id] = request
+        order = self._draw_order(request)
+        self._simulator.add(order)
+        patience = order.grace + ANSWER_SLACK + PERIOD
+        if self._draw.random() < 0.03:
+            patience = self._draw.randrange(patience)
+        self._simulator.after(patience, partial(self._client_leaves, request))
+
+    def _draw_request(self, instance: Instance) -> Request:
+        request_class = self._draw.choices(CLASSES, WEIGHTS)[0]
+        scatter = self._draw.choice((1, 2, 2, 3, 3, 4, 8))
+        work = request_class.work * scatter // 3 + self._draw.randrange(20 * MS)
+        memory_mb = MEMORY_STEP_MB * self._draw.randrange(1, 200)
+        return Request(next(self._request_ids), instance, instance.run, request_class, work, memory_mb)
+
+    def _draw_order(self, request: Request) -> frames.Order:
+        """What the gateway is told of the request; now and then neither its cost nor its memory."""
+        estimate = request.work * self._draw.randrange(50, 200) // 100
+        hinted = self._draw.random() < 0.8
+        in_order = request.request_class.in_order
+        return frames.Order(
+            request.instance.number,
+            request.id,
+            CLASSES.index(request.request_class),
+            cost_hint=estimate if hinted else 0,
+            memory_mb=float(request.memory_mb) if hinted else 0.0,
+            grace=self._draw.choice((40 * MS, S, 3 * S, 3 * S, 6 * S)),
+            group=self._draw.randrange(GROUPS),
+            key=self._draw.randrange(KEYS + 1) if in_order else 0,
+        )
+
+    def _client_leaves(self, request: Request) -> None:
+        if not request.over:
+            request.over = True
+            gone = frames.ClientGone(request.instance.number, request.id)
+            self._simulator.tell_holder(request, gone)
+
+    # The adapter's actions
+
+    def _carry_out(self, action: frames.Action) -> None:
+        instance = self._instances[action.instance]
+        match action:
+            case frames.Assign(_, request, address, timeout):
+                self._fleet.assign(instance.requests[request], address, timeout)
+            case frames.OverloadReply(_, request, _):
+                self._reject(instance.requests[request])
+            case frames.Fail(_, request):
+                instance.requests[request].over = True
+            case frames.Withdraw(_, request, number):
+                self._fleet.withdraw(instance.requests[request].attempts[number])
+            case frames.SetTimer(_, at, token):
+                self._set_timer(instance, at, token)
+            case frames.Sample(_, address):
+                self._fleet.probe(instance, address)
+            case frames.KeepInformed(_, active):
+                self._discovery.subscribe(instance, bool(active))
+            case frames.Resources():
+                pass  # the endpoints here heed no priority
+
+    def _reject(self, request: Request) -> None:
+        request.over = True
+        if self._draw.random() < 0.3 and self._simulator.clock < self._scenario.ends_at:
+            backoff = self._draw.randrange(100, 600) * MS
+            self._simulator.after(backoff, self._client_sends)
+
+    def _set_timer(self, instance: Instance, at: int, token: int) -> None:
+        """Never within the batch that is being answered."""
+        fired = frames.TimerFired(instance.number, token)
+        deliver = partial(self._simulator.tell, instance, instance.run, fired)
+        self._simulator.at(max(at, self._simulator.clock + 1), deliver)
--- /dev/null
+++ b/tests/simulation/simulated_endpoints.py
@@ -0,0 +1,255 @@
+"""The endpoints of the simulated deployment, what goes wrong with them, and discovery, which lists them."""
+
+from __future__ import annotations
+
+import itertools
+from functools import partial
+
+import wire_frames as frames
+from stream_scenarios import CONNECT_TIMEOUT, CORES, MAX_ATTEMPTS, MS, PERIOD, PROGRESS_INTERVAL, S, Scenario
+from virtual_simulator import Attempt, Endpoint, Instance, Request, VirtualSimulator
+
+OK, ERROR, CONNECT_FAILED, FULL, TIMED_OUT, RESET, CANCELLED, MOOT = 200, 500, 502, 503, 504, 598, 499, 410
+DRAIN_TIME = 2 * S  # from draining to gone
+ZONES, CELLS, LIST_NUMBERS = 2, 3, 16
+MEMORY_STEP_MB = 4  # unit in which a response tells the memory that was needed
+NOTES = (
+    (frames.PROGRESS, 0.5),
+    (frames.PROGRESS, 0.4),
+    (frames.SPILLS, 64.0),
+    (frames.WAITS, 1.0),
+    (frames.WAITS, 2.0),
+)
+
+
+class Discovery:
+    """Hands endpoint lists to the instances, unasked or to those that have subscribed."""
+
+    def __init__(self, simulator: VirtualSimulator, instances: list[Instance], pushes: bool) -> None:
+        self.endpoints: list[Endpoint] = []
+        self._simulator = simulator
+        self._instances = instances
+        self._pushes = pushes
+        self._versions, self._numbers = itertools.count(1), itertools.count()
+
+    def publish(self, changed: Endpoint) -> None:
+        self._hand_out(frames.CHANGES, (changed.entry(),), self._informed())
+
+    def publish_all(self) -> None:
+        self._hand_out(frames.FULL, self._complete_list(), self._informed())
+
+    def begin(self, instance: Instance) -> None:
+        """A started instance gets the list that it held last; where news is pushed, soon all of it."""
+        stale = tuple(endpoint.entry() for endpoint in self.endpoints[:-1])
+        self._hand_out(frames.CACHED, stale, [instance])
+        if self._pushes:
+            self._simulator.after(200 * MS, partial(self._hand_complete_list, instance, instance.run))
+
+    def subscribe(self, instance: Instance, active: bool) -> None:
+        """Answers the call, now and then by a failure."""
+        simulator = self._simulator
+        if simulator.draw.random() < 0.4:
+            failed = frames.View(instance.number, 0, frames.FAILED, 0)
+            simulator.after(300 * MS, partial(simulator.tell, instance, instance.run, failed))
+        else:
+            simulator.after(20 * MS, partial(self._begin_subscription, instance, instance.run, active))
+
+    def _begin_subscription(self, instance: Instance, run: int, active: bool) -> None:
+        if instance.running and instance.run == run:
+            instance.subscribed = active
+            self._hand_complete_list(instance, run)
+
+    def _informed(self) -> list[Instance]:
+        return [each for each in self._instances if each.running and (self._pushes or each.subscribed)]
+
+    def _complete_list(self) -> tuple[frames.Entry, ...]:
+        return tuple(each.entry() for each in self.endpoints if each.health != frames.GONE)
+
+    def _hand_complete_list(self, instance: Instance, run: int) -> None:
+        if instance.running and instance.run == run:
+            self._hand_out(frames.FULL, self._complete_list(), [instance])
+
+    def _hand_out(self, kind: int, entries: tuple[frames.Entry, ...], receivers: list[Instance]) -> None:
+        """Writes the list once, and for each receiver a view of it."""
+        if not receivers:
+            return
+        number, version = next(self._numbers) % LIST_NUMBERS, next(self._versions)
+        self._simulator.add(frames.Inventory(number, entries))
+        for instance in receivers:
+            view = frames.View(instance.number, version, kind, number)
+            self._simulator.tell(instance, instance.run, view)
+
+
+class EndpointFleet:
+    """Serves the attempts that are assigned, more slowly where many run, and fails in every way."""
+
+    def __init__(self, simulator: VirtualSimulator, discovery: Discovery, scenario: Scenario) -> None:
+        self._simulator = simulator
+        self._draw = simulator.draw
+        self._discovery = discovery
+        self._reports_load = scenario.reports_load
+        self._tells_cost = scenario.tells_cost
+        self._endpoints = discovery.endpoints
+
+    # Attempts
+
+    def assign(self, request: Request, address: bytes, timeout: int) -> None:
+        endpoint = self._endpoint(address)
+        attempt = Attempt(request, len(request.attempts), endpoint, self._simulator.clock)
+        request.attempts.append(attempt)
+        outcome, span = self._draw_outcome(request, endpoint)
+        if outcome in (OK, ERROR, RESET):
+            endpoint.busy_threads += request.request_class.threads
+            endpoint.in_flight.append(attempt)
+            self._schedule_note(attempt, span)
+        if span > timeout:
+            outcome, span = TIMED_OUT, timeout
+        self._simulator.after(span, partial(self._end, attempt, outcome))
+
+    def withdraw(self, attempt: Attempt) -> None:
+        self._simulator.after(PERIOD, partial(self._end, attempt, CANCELLED))
+
+    def release(self, attempt: Attempt) -> None:
+        """The attempt uses its endpoint no more."""
+        endpoint = attempt.endpoint
+        if attempt in endpoint.in_flight:
+            endpoint.in_flight.remove(attempt)
+            endpoint.busy_threads -= attempt.request.request_class.threads
+
+    def probe(self, instance: Instance, address: bytes) -> None:
+        endpoint = self._endpoint(address)
+        outcome, latency = (OK, 3 * MS) if endpoint.reachable else (CONNECT_FAILED, CONNECT_TIMEOUT)
+        report = self._load_report(endpoint) if endpoint.reachable else ()
+        result = frames.ProbeResult(instance.number, outcome, latency, address, report)
+        self._simulator.after(latency, partial(self._simulator.tell, instance, instance.run, result))
+
+    def _draw_outcome(self, request: Request, endpoint: Endpoint) -> tuple[int, int]:
+        """What the attempt comes to, and after how many microseconds."""
+        chance, span = self._draw.random(), self._draw_service_time(request, endpoint)
+        if request.over or len(request.attempts) > MAX_ATTEMPTS:
+            return MOOT, 1
+        if not endpoint.reachable:
+            return CONNECT_FAILED, CONNECT_TIMEOUT
+        if endpoint.health != frames.READY or endpoint.busy_threads > 3 * CORES[endpoint.kind]:
+            return FULL, 2 * MS
+        if chance < 0.03:
+            return ERROR, max(MS, span // 3)
+        if chance < 0.05:
+            return RESET, max(MS, span // 2)
+        if chance < 0.06:
+            return MOOT, 1  # no time was left when it was to be sent
+        return OK, span
+
+    def _draw_service_time(self, request: Request, endpoint: Endpoint) -> int:
+        threads = request.request_class.threads
+        crowd = max(1.0, (endpoint.busy_threads + threads) / CORES[endpoint.kind])
+        runaway = 12 if self._draw.random() < 0.02 else 1
+        scatter = self._draw.randrange(80, 130) / 100
+        return int(request.work / threads * crowd * runaway * endpoint.slowdown * scatter) + MS
+
+    def _schedule_note(self, attempt: Attempt, span: int) -> None:
+        if span < PROGRESS_INTERVAL:
+            return
+        kind, amount = self._draw.choice(NOTES)
+        request, endpoint = attempt.request, attempt.endpoint
+        note = frames.ProgressNote(
+            request.instance.number, request.id, amount, kind, attempt.number, endpoint.address
+        )
+        self._simulator.after(span // 2, partial(self._tell_note, attempt, note))
+
+    def _tell_note(self, attempt: Attempt, note: frames.ProgressNote) -> None:
+        if not attempt.ended:
+            self._simulator.tell_holder(attempt.request, note)
+
+    def _end(self, attempt: Attempt, outcome: int) -> None:
+        if attempt.ended:
+            return
+        attempt.ended = True
+        self.release(attempt)
+        request, endpoint = attempt.request, attempt.endpoint
+        request.over = request.over or outcome == OK
+        reports = self._reports_load and outcome in (OK, ERROR, FULL)
+        response = frames.Response(
+            request.instance.number,
+            request.id,
+            self._simulator.clock - attempt.sent_at,
+            _cost(request) if outcome == OK and self._tells_cost else 0,
+            outcome,
+            request.over,
+            endpoint.address,
+            attempt.number,
+            self._load_report(endpoint) if reports else (),
+        )
+        self._simulator.tell_holder(request, response)
+
+    def _load_report(self, endpoint: Endpoint) -> tuple[float, ...]:
+        """Waiting and active requests, and the busy part of the cores."""
+        busy = min(1.0, endpoint.busy_threads / CORES[endpoint.kind])
+        return (float(self._draw.randrange(3)), float(len(endpoint.in_flight)), busy)
+
+    # Changes and faults
+
+    def add_endpoint(self, started: int) -> Endpoint:
+        address, kind = self._draw.randbytes(6), self._draw.randrange(len(CORES))
+        zone, cell = self._draw.randrange(ZONES), self._draw.randrange(CELLS)
+        endpoint = Endpoint(address, zone, cell, kind, started)
+        self._endpoints.append(endpoint)
+        return endpoint
+
+    def grow(self) -> None:
+        self._discovery.publish(self.add_endpoint(started=self._simulator.clock))
+
+    def drain(self) -> None:
+        ready = self._ready()
+        if len(ready) <= 2:
+            return
+        endpoint = self._draw.choice(ready)
+        endpoint.health = frames.DRAINING
+        self._discovery.publish(endpoint)
+        self._simulator.after(DRAIN_TIME, partial(self._remove, endpoint))
+
+    def crash(self) -> None:
+        """The process dies, and its attempts with it. Soon it is back."""
+        endpoint = self._draw.choice(self._ready())
+        endpoint.reachable = False
+        for attempt in endpoint.in_flight:
+            self._simulator.after(PERIOD, partial(self._end, attempt, RESET))
+        self._simulator.after(self._draw.randrange(500, 2500) * MS, partial(self._come_back, endpoint))
+
+    def slow_down(self) -> None:
+        endpoint = self._draw.choice(self._ready())
+        endpoint.slowdown = self._draw.choice((3, 6, 20))
+        self._simulator.after(3 * S, partial(self._recover, endpoint))
+
+    def _remove(self, endpoint: Endpoint) -> None:
+        """Now and then no change says so; then only the next complete list does, by leaving it out."""
+        endpoint.health, endpoint.reachable = frames.GONE, False
+        if self._draw.random() < 0.7:
+            self._discovery.publish(endpoint)
+        if self._draw.random() < 0.7:
+            self.grow()
+
+    def _come_back(self, endpoint: Endpoint) -> None:
+        """Now and then the restart is not listed, or with a start that lies in the future."""
+        if endpoint.health == frames.GONE:
+            return
+        endpoint.reachable = True
+        if self._draw.random() < 0.7:
+            clock_error = self._draw.choice((0, 0, 0, 5 * S))
+            endpoint.started = self._simulator.clock + clock_error
+            self._discovery.publish(endpoint)
+
+    def _recover(self, endpoint: Endpoint) -> None:
+        endpoint.slowdown = 1
+
+    def _ready(self) -> list[Endpoint]:
+        return [each for each in self._endpoints if each.health == frames.READY]
+
+    def _endpoint(self, address: bytes) -> Endpoint:
+        """Those that are gone stay known here."""
+        return next(each for each in self._endpoints if each.address == address)
+
+
+def _cost(request: Request) -> int:
+    """As a response tells it: work in milliseconds x 4096, plus memory in steps."""
+    return request.work // MS << 12 | request.memory_mb // MEMORY_STEP_MB
--- /dev/null
+++ b/tests/simulation/stream_scenarios.py
@@ -0,0 +1,172 @@
+"""What the drawn streams differ in: the classes of requests, and one scenario a stream with its settings."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+MS, S = 1_000, 1_000_000
+PERIOD = 5 * MS  # between batches
+CONNECT_TIMEOUT = 250 * MS
+ANSWER_SLACK = 20 * MS
+MAX_ATTEMPTS = 4
+PROGRESS_INTERVAL = 400 * MS
+CORES = (12, 8)  # by kind of machine
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """`weight`: how often it is drawn. `work`: microseconds of one thread. `loads`: it holds its group of
+    tables, `waits`: it stands behind such a hold. `settings`: where it differs from the common ones."""
+
+    name: str
+    weight: int
+    work: int
+    threads: int
+    loads: bool
+    waits: bool
+    settings: dict[str, object]
+
+    @property
+    def in_order(self) -> bool:
+        return bool(self.settings.get("fifo_by_key"))
+
+
+LOOKUP = RequestClass(
+    "lookup", 8, 150 * MS, 1, loads=False, waits=True, settings={"effect": "repeatable", "aim_stretch": 2.0}
+)
+REPORT = RequestClass(
+    "report",
+    3,
+    900 * MS,
+    2,
+    loads=False,
+    waits=True,
+    settings={"effect": "repeatable", "flavors_only": [0], "gain": 6.0},
+)
+REGIONAL = RequestClass(
+    "regional",
+    2,
+    300 * MS,
+    1,
+    loads=False,
+    waits=False,
+    settings={"effect": "repeatable", "stays_in": [1], "late_value": 0.3},
+)
+LOAD = RequestClass(
+    "load",
+    2,
+    800 * MS,
+    2,
+    loads=True,
+    waits=False,
+    settings={"effect": "by_key", "group": "zone", "window": 4 * S},
+)
+APPEND = RequestClass(
+    "append", 2, 200 * MS, 1, loads=True, waits=False, settings={"effect": "once", "fifo_by_key": True}
+)
+MERGE = RequestClass(
+    "merge",
+    2,
+    250 * MS,
+    2,
+    loads=True,
+    waits=False,
+    settings={"effect": "by_key", "window": 3 * S, "fifo_by_key": True},
+)
+CELL = RequestClass(
+    "cell",
+    1,
+    200 * MS,
+    1,
+    loads=False,
+    waits=True,
+    settings={"effect": "by_key", "group": "cell", "window": 2 * S},
+)
+CLASSES = (LOOKUP, REPORT, REGIONAL, LOAD, APPEND, MERGE, CELL)
+WEIGHTS = tuple(each.weight for each in CLASSES)
+
+
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """One stream. `rate`: requests a second of all instances together. `settings`: values that differ from
+    the common ones, by the part of the settings that they belong to, such as 'limits'."""
+
+    seed: int
+    instances: int = 2
+    endpoints: int = 6
+    seconds: int = 12
+    rate: int = 30
+    reports_load: bool = False
+    tells_cost: bool = True
+    subscribes: bool = False
+    settings: dict[str, dict[str, object]] = field(default_factory=dict)
+
+    @property
+    def ends_at(self) -> int:
+        """When the last client begins, in microseconds."""
+        return self.seconds * S
+
+
+def deployment_settings(scenario: Scenario, instance: int) -> dict[str, object]:
+    """The settings object that an instance starts with, by the keys of the wire's page."""
+    common = _common_parts(scenario)
+    parts = {name: values | scenario.settings.get(name, {}) for name, values in common.items()}
+    return {
+        "discovery": "subscribe" if scenario.subscribes else "automatic",
+        "flavors": ["c12", "c8"],
+        "me": instance,
+        "n_instances": scenario.instances,
+        "period": PERIOD,
+        "request_classes": [_class_settings(each) for each in CLASSES],
+        "zones": ["north", "south"],
+        **parts,
+    }
+
+
+def _common_parts(scenario: Scenario) -> dict[str, dict[str, object]]:
+    columns = ["waiting", "active", "cpu"] if scenario.reports_load else []
+    return {
+        "limits": {
+            "cancelling": True,
+            "connect_timeout": CONNECT_TIMEOUT,
+            "max_attempts": MAX_ATTEMPTS,
+            "max_retry_after": 500 * MS,
+            "probes": scenario.reports_load,
+            "retry_after": True,
+            "second_copies": True,
+        },
+        "report": {"columns": columns, "how": "answers" if columns else "none"},
+        "rules": {
+            "answer_slack": ANSWER_SLACK,
+            "ask_within": 10 * S,
+            "cold_from": 0.3,
+            "drain_grace": 2 * S,
+            "fall_multiple": 4.0,
+            "key_rest": 300 * MS,
+            "overload_for": S,
+            "warm_up": 5 * S,
+        },
+        "specifics": {
+            "bills": scenario.tells_cost,
+            "class_waits": [each.waits for each in CLASSES],
+            "cpu_of_kind": list(CORES),
+            "largest_share": 0.4,
+            "progress_pace": PROGRESS_INTERVAL,
+            "ranks_heeded": True,
+            "size_mb": [24576.0, 16384.0],
+            "threads_by_class": [each.threads for each in CLASSES],
+            "writes_tables": [each.loads for each in CLASSES],
+        },
+    }
+
+
+def _class_settings(request_class: RequestClass) -> dict[str, object]:
+    common = {
+        "aim": 600 * MS + 2 * request_class.work,
+        "deadline": 6 * S,
+        "gain": 1.0,
+        "group": "all",
+        "late_value": 0.1,
+        "name": request_class.name,
+    }
+    return common | request_class.settings
