--- /dev/null
+++ b/tests/policy/test_operated_decisions.py
@@ -0,0 +1,163 @@
+"""Decisions under what the operator and other gateways tell stay the same to the last digit.
+
+The simulator's wire holds none of these events (levels of reduced service, cells, planned stops, reports of
+other gateways), so that the drawn streams of tests/simulation can't. The digests cover the values of every
+action in the order of its fields, and no name. A change that is meant to alter decisions replaces them, and
+says so in its commit.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from collections import Counter
+from dataclasses import fields, is_dataclass, replace
+from enum import Enum
+
+import pytest
+from conftest import MS, PROFILES, S
+from test_whatever_comes import RandomDay
+
+from lotusstream import interface as api
+
+SECONDS = 8
+CELLS, POOLS = 3, 2
+ACTION_LABELS = {
+    api.Believed: "beliefs",
+    api.Send: "send",
+    api.Resources: "resources",
+    api.Shed: "shed",
+    api.Fail: "fail",
+    api.Cancel: "cancel",
+    api.Probe: "probe",
+    api.Wake: "wake",
+    api.Subscribe: "subscribe",
+}
+
+
+def plain(value: object) -> object:
+    """The value without any name of a type, field or member; a member counts by its place."""
+    if isinstance(value, Enum):
+        return list(type(value)).index(value)
+    if is_dataclass(value):
+        return tuple(plain(getattr(value, each.name)) for each in fields(value))
+    if isinstance(value, tuple):
+        return tuple(plain(each) for each in value)
+    return value
+
+
+class OperatedDay(RandomDay):
+    """A random day on which operators and other gateways have their say."""
+
+    def __init__(self, seed: int, servers: int, gateways: int) -> None:
+        super().__init__(seed, servers, gateways)
+        self.events: Counter[type] = Counter()
+        self.actions: Counter[type] = Counter()
+        self._digest = hashlib.sha256()
+
+    def play(self, seconds: int) -> None:
+        self._push(S, api.EngineNews(api.ListKind.FULL, tuple(self._entries)))
+        for cell in range(CELLS):
+            self._push(S + 1, self._confinement(cell))
+        draws = (
+            self._confinement_of_any,
+            self._level,
+            self._rehoming,
+            self._dropping,
+            self._earlier_run,
+            self._peer_report,
+            api.Asked,
+        )
+        for _ in range(seconds * 25):
+            at = S + self._draw.randrange(seconds * S)
+            self._push(at, self._draw.choice(draws)())
+        self._push((seconds - 1) * S, api.Stopping((seconds + 1) * S))
+        super().play(seconds)
+
+    @property
+    def sha256(self) -> str:
+        return self._digest.hexdigest()
+
+    def _push(self, at: int, event: api.Event) -> None:
+        if isinstance(event, api.Arrived):
+            cell = self._draw.choice((None, *range(CELLS)))
+            core_is_slow = at % (4 * S) < S
+            waited = (
+                self._draw.choice((50 * MS, 60 * MS)) if core_is_slow else self._draw.choice((0, 10 * MS))
+            )
+            event = replace(event, cell=cell, waited=waited)
+        super()._push(at, event)
+
+    def _step(self, now: int, event: api.Event) -> None:
+        seen = len(self._host.log)
+        super()._step(now, event)
+        self.events[type(event)] += 1
+        for action in self._host.log[seen:]:
+            self.actions[type(action)] += 1
+            told = (now, ACTION_LABELS[type(action)], plain(action))
+            self._digest.update(repr(told).encode())
+
+    def _some_engines(self) -> frozenset[api.EngineId]:
+        count = self._draw.randrange(1, 1 + len(self._entries))
+        return frozenset(entry.id for entry in self._draw.sample(self._entries, count))
+
+    def _confinement(self, cell: int) -> api.Confined:
+        return api.Confined(cell, self._draw.randrange(POOLS), self._some_engines())
+
+    def _confinement_of_any(self) -> api.Confined:
+        confinement = self._confinement(self._draw.randrange(CELLS))
+        lifted = self._draw.random() < 0.2
+        return replace(confinement, engines=frozenset()) if lifted else confinement
+
+    def _level(self) -> api.Reduced:
+        if self._draw.random() < 0.4:
+            return api.Reduced((1.0,) * len(PROFILES), api.Further.ALL, None, (None,) * len(PROFILES))
+        return api.Reduced(
+            admitted=tuple(self._draw.choice((0.0, 0.5, 1.0, 1.0)) for _ in PROFILES),
+            further=self._draw.choice([*api.Further]),
+            longest_advice=self._draw.choice((None, 200 * MS)),
+            priorities=tuple(self._draw.choice((None, 0, 2)) for _ in PROFILES),
+        )
+
+    def _command(self) -> int:
+        return self._draw.randrange(SECONDS * 30)
+
+    def _rehoming(self) -> api.Rehomed:
+        return api.Rehomed(self._command(), self._draw.randrange(CELLS))
+
+    def _dropping(self) -> api.Dropped:
+        return api.Dropped(self._command())
+
+    def _earlier_run(self) -> api.RanElsewhere:
+        at = S + self._draw.randrange(SECONDS * S)
+        return api.RanElsewhere(self._command(), self._draw.choice((-1, 0)), self._draw.choice((-1, 0)), at)
+
+    def _peer_report(self) -> api.Hearsay:
+        return api.Hearsay(self._draw.choice(self._entries).id, self._draw.random() < 0.5)
+
+
+# by seed, endpoints and gateways
+DIGESTS = {
+    (1, 6, 1): "6c24628604bdcf2ca9deac081908727dc0a820641c3128e3725c8b8477dfd28b",
+    (2, 8, 4): "dfb75c27b81c67f4ce1fb7721b8a6dd48d035c909667841199e05e1836aebab5",
+    (3, 60, 2): "fd86adbef7108c45b4aa71cc0615a703b7cf1ed587ba920f2258ab331a47a107",
+    (4, 12, 30): "1e58a34caf4ba8bf3838e6f7c71786ab6754e9640ab8bfb7953b7bfd49092995",
+    (5, 3, 1): "b886940413bb39b7d0598771cd8cea90ad0ed54cfa736b0339c1fd87edeb5118",
+    (6, 150, 1): "aa04b10a372f02359067b8c1a3519475395b18af8a1b0cd4db96513b7a5877c2",
+}
+
+
+@pytest.mark.parametrize(("seed", "servers", "gateways"), DIGESTS)
+def test_operated_decisions_stay_the_same(seed: int, servers: int, gateways: int) -> None:
+    day = OperatedDay(seed, servers, gateways)
+    day.play(SECONDS)
+    assert set(day.events) >= {
+        api.Stopping,
+        api.Reduced,
+        api.Confined,
+        api.Rehomed,
+        api.Dropped,
+        api.RanElsewhere,
+        api.Hearsay,
+        api.Asked,
+    }
+    assert day.sha256 == DIGESTS[seed, servers, gateways]
