--- /dev/null
+++ b/tests/golden/golden_clients.py
@@ -0,0 +1,82 @@
+"""Messages of clients, as Thrift frames: what they send, written by the Thrift library alone, and what the
+gateway's functions write."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from thrift.protocol.TBinaryProtocol import TBinaryProtocol
+from thrift.Thrift import TApplicationException, TMessageType, TType
+from thrift.transport.TTransport import TMemoryBuffer
+
+from lotusstream.protocol import front
+
+FIELDS = {
+    "op": "load", "call": "00000000000000aa", "ttl": "6000", "work": "20.5", "mem": "96", "dedupe": "m" * 32,
+}  # fmt: skip
+
+
+def message(method: str, kind: int, seqid: int, write: Callable[[TBinaryProtocol], None]) -> bytes:
+    """Without the length in front of it."""
+    protocol = TBinaryProtocol(TMemoryBuffer())
+    protocol.writeMessageBegin(method, kind, seqid)
+    write(protocol)
+    protocol.writeFieldStop()
+    written: bytes = protocol.trans.getvalue()
+    return written
+
+
+def write_process(protocol: TBinaryProtocol) -> None:
+    protocol.writeFieldBegin("fields", TType.MAP, 1)
+    protocol.writeMapBegin(TType.STRING, TType.STRING, len(FIELDS))
+    for text in (each for item in FIELDS.items() for each in item):
+        protocol.writeString(text)
+    protocol.writeFieldBegin("body", TType.STRING, 2)
+    protocol.writeBinary(b"SELECT a FROM sales_3.t")
+
+
+def write_give_up(protocol: TBinaryProtocol) -> None:
+    protocol.writeFieldBegin("seqid", TType.I32, 1)
+    protocol.writeI32(7)
+
+
+def write_probe_answer(protocol: TBinaryProtocol) -> None:
+    protocol.writeFieldBegin("success", TType.STRUCT, 0)
+    protocol.writeFieldBegin("good", TType.BOOL, 3)
+    protocol.writeBool(True)
+    protocol.writeFieldStop()
+
+
+def written_by_clients() -> dict[str, bytes]:
+    call, oneway = TMessageType.CALL, TMessageType.ONEWAY
+    return {
+        "process": message("process", call, 7, write_process),
+        "give-up": message("giveUp", oneway, 8, write_give_up),
+        "probe": message("probe", call, 9, lambda protocol: None),
+        "unknown": message("nothing", call, 10, lambda protocol: None),
+        "process-empty": message("process", call, 11, lambda protocol: None),
+        "probe-answer": message("probe", TMessageType.REPLY, 12, write_probe_answer),
+    }
+
+
+def written_by_the_gateway() -> dict[str, bytes]:
+    return {
+        "answer": front.encode_answer("process", 7, b"a\tb\tc\n", True),
+        "probe-answer": front.encode_answer("probe", 9, b"", False),
+        "shed": front.encode_shed(7, 500_000),
+        "shed-at-once": front.encode_shed(7, 0),
+        "failure": front.encode_failure(7, "no endpoint would answer in time"),
+        "fault": front.encode_fault("nothing", 10, TApplicationException.UNKNOWN_METHOD, "unknown method"),
+        "probe": front.encode_probe(9),
+    }
+
+
+def faults() -> dict[str, bytes]:
+    """The gateway's answers to messages of clients that can't be used."""
+    found = {}
+    for name in ("unknown", "process-empty"):
+        try:
+            front.decode(written_by_clients()[name])
+        except front.UnusableMessage as error:
+            found[name] = error.fault or b""
+    return found
--- /dev/null
+++ b/tests/golden/golden_messages.py
@@ -0,0 +1,219 @@
+"""One message of each kind with fixed values, and how the program encodes and decodes it.
+
+Messages are built by position, and each class is named as few times as can be: a rename of classes and
+fields changes little here, and nothing in the golden data.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from lotusstream.cells.move import Move, Step
+from lotusstream.copies import messages as copies
+from lotusstream.copies.messages import Held
+from lotusstream.copies.shards import Holder, Place
+from lotusstream.examine.news import News, Row
+from lotusstream.leases import table as leases
+from lotusstream.net.copies import _RECORDS as COPY_RECORD_DECODER
+from lotusstream.net.copies import Identity as CopiesIdentity
+from lotusstream.net.keeper import _RECORDS as QUORUM_RECORD_DECODER
+from lotusstream.net.moves import _STEPS as MOVE_DECODER
+from lotusstream.protocol import control, peers
+from lotusstream.quorum import messages as quorum
+from lotusstream.quorum.messages import Kind
+
+
+@dataclass(frozen=True)
+class Family:
+    """Messages of one protocol or file, each under a name of its own."""
+
+    name: str
+    messages: dict[str, Any]
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
+
+
+# The quorum
+
+MEMBERS = (quorum.Member("g1", "g1-disk"), quorum.Member("g2", "g2-disk", False))
+SNAPSHOT = quorum.Snapshot(7, 2, "g1-disk-3", MEMBERS, b"state")
+ENTRIES = (
+    quorum.Entry(2, Kind.NOTHING),
+    quorum.Entry(2, Kind.COMMAND, b"command"),
+    quorum.Entry(3, Kind.MEMBERS, b"\x91\x93\xa2g1\xa1d\xc3"),
+)
+QUORUM_RECORDS = {
+    "identity": quorum.Identity("g1-disk"),
+    "ballot": quorum.Ballot(3, "g2-disk"),
+    "entries": quorum.Entries(8, ENTRIES),
+    "snapshot": quorum.Whole(SNAPSHOT),
+}
+QUORUM_BODIES = {
+    "hello": quorum.Hello(3, 9, "g2-disk"),
+    "heard": quorum.Heard("g1-disk-3", MEMBERS, MEMBERS[:1], 3, 9, True),
+    "found": quorum.Found(SNAPSHOT),
+    "ask-vote": quorum.AskVote(4, 9, 3, True, True),
+    "vote": quorum.Vote(4, True, False),
+    "append": quorum.Append(4, 7, 2, ENTRIES, 8, 11, 9),
+    "appended": quorum.Appended(4, False, 7, 9, 11),
+    "install": quorum.Install(4, SNAPSHOT, 16, 64, b"piece", 12),
+    "installed": quorum.Installed(4, 7, 21, True, 12),
+    "hand-over": quorum.HandOver(4),
+}
+
+# Leases
+
+LEASE_WISHES = {
+    "acquire": leases.Acquire("moves", "g1", "g1-session", 5),
+    "release": leases.Release("moves", "g1", "g1-session", 6, 3, "g2"),
+    "expire": leases.Expire("moves", 3, 12),
+    "take-back": leases.TakeBack("moves", 3, "g2"),
+    "put": leases.Put("copies", 4, "shard/1", 2, "[1]"),
+}
+GRANTED = leases.Granted(True, "moves", "g1", 3, "held", True, 2_000_000)
+
+
+def lease_table() -> leases.LeaseTable:
+    """Two tasks, one of them taken back by hand, and a note."""
+    wishes = (
+        leases.Acquire("moves", "g1", "g1-session", 1),
+        leases.Acquire("moves", "g1", "g1-session", 2),
+        leases.Acquire("copies", "g2", "g2-session", 1),
+        leases.Put("copies", 2, "shard/1", 2, "[1]"),
+        leases.TakeBack("moves", 1, "g3"),
+    )
+    return leases.LeaseTable.replayed(b"", map(leases.encode_wish, wishes))
+
+
+# Copies
+
+PLACES = (Place("g1", "g1-disk"), Place("g2", "g2-disk"), Place("g3", "g3-disk"))
+HOLDINGS = (
+    copies.Holding("key-1", "print", Held.SENT, "g1.session/7/0", 1_700_000_000_000_000),
+    copies.Holding("key-2", "print", Held.ANSWERED, "g1.session/8/0", 1_700_000_000_000_001, b"a\tb\tc\n",
+                   "east", 4, 1_600_000_000_000_000),
+    copies.Holding("key-3", "print", Held.UNRUN, "g1.session/9/0", 1_700_000_000_000_002),
+)  # fmt: skip
+OPERATION = copies.Op(3, 17, HOLDINGS[1])
+ASSIGNED = copies.Assigned(1, 3, PLACES[0], "g1-disk.run", PLACES[1:2], PLACES[2:])
+COPY_RECORDS = {
+    "identity": CopiesIdentity("g1-disk"),
+    "operation": copies.KeptOp(1, OPERATION),
+    "snapshot": copies.KeptWhole(1, 3, 17, HOLDINGS, 1, 2),
+}
+COPY_WORDS = {
+    "begin": copies.Begin(ASSIGNED),
+    "stand": copies.Stand(1, 3, "g2-disk.run", 2, 16),
+    "fill": copies.Fill(1, 3, 4, 3, 17, HOLDINGS[:2], (OPERATION,), 1, 2, 99),
+    "filled": copies.Filled(1, 3, "g2-disk.run", 1),
+    "copy": copies.Copy(1, 3, OPERATION),
+    "copied": copies.Copied(1, 3, "g2-disk.run", 17),
+    "deposed": copies.Deposed(1, 4),
+    "compare": copies.Compare(1, 3, 17, 5, 1_700_000_000_000_000),
+    "compared": copies.Compared(1, 3, "g2-disk.run", 17, 5, bytes(range(16))),
+}
+
+# Frames between gateways
+
+PEER_FRAMES = {
+    "greeting": peers.Greeting(1, "group", "g1", 2),
+    "ping": peers.Ping(),
+    "pong": peers.Pong(),
+    "look": peers.Look(-3),
+    "alter": peers.Alter(-4, "g4", True),
+    "told": peers.Told(5, True, GRANTED, "g2", "why"),
+    "told-view": peers.Told(-3, False, None, "", "", {"role": "leader", "term": 4}),
+    "beat": peers.Beat(9, Holder(PLACES[0], "machine", "zone"), "g1-disk.run", {1: (3, PLACES[1:])}, True,
+                       {2: (4, PLACES[2])}),
+    "beaten": peers.Beaten(9, (ASSIGNED,), {1: PLACES[0]}, {1: 3}),
+    "keep": peers.Keep(21, True, HOLDINGS[1], "g2.session/1/0"),
+    "kept": peers.Kept(21, "known", HOLDINGS[0], "why", "g2"),
+    "hear": peers.Hear(4_000_000),
+    "tidings": peers.Tidings(News(4, 2, (Row(b"s-1", False), Row(b"s-2", True))), 1500),
+    **{f"ask-{name}": peers.Ask(31, wish) for name, wish in LEASE_WISHES.items()},
+    **{
+        f"quorum-{name}": peers.Quorum(quorum.Envelope("g1", "g1-disk", "g2", "g2-disk", "g1-disk-3", body))
+        for name, body in QUORUM_BODIES.items()
+    },
+    **{f"word-{name}": peers.Word(*PLACES[:2], word) for name, word in COPY_WORDS.items()},
+}  # fmt: skip
+
+
+def decode_peer_frame(data: bytes) -> Any:
+    taken = peers.take(memoryview(data))
+    assert taken is not None and taken[1] == len(data)
+    return taken[0]
+
+
+# Control requests and replies
+
+CONTROL_REQUESTS = {
+    "status": control.Status(),
+    "levels": control.Levels(3),
+    "engines": control.Engines(),
+    "commands": control.Commands(7),
+    "counters": control.CountersAsked(),
+    "hold": control.HoldLevel("spare", 600_000_000),
+    "release": control.ReleaseLevel(),
+    "cells": control.Cells(),
+    "cells-tenant": control.Cells("uni-a"),
+    "move": control.MoveCell("uni-a", "west", True),
+    "abort": control.AbortMove("uni-a"),
+    "peers": control.Peers(),
+    "quorum": control.Quorum(),
+    "keeper": control.ChangeKeeper("g4", False),
+    "leases": control.Leases(),
+    "copies": control.Copies(),
+    "drain": control.Drain("m1", True),
+    "give-up": control.GiveUpLease("moves", "g2"),
+}
+CONTROL_REPLIES = {
+    "told": control.Reply(None, {"level": "full", "rungs": [1, 2.5, None, True]}),
+    "refused": control.Reply(control.Refusal("busy", "the quorum does not answer")),
+}
+
+
+def without_length(decode: Callable[[bytes], Any]) -> Callable[[bytes], Any]:
+    """A control frame is read in two steps: its length, then its payload."""
+    size = control.LENGTH.size
+
+    def decode_frame(data: bytes) -> Any:
+        assert control.frame_length(data[:size], len(data)) == len(data) - size
+        return decode(data[size:])
+
+    return decode_frame
+
+
+# Moves
+
+MOVES = {
+    step.value: Move("uni-a", "east", "west", step, 1_000_000, 2_000_000, "by hand")
+    for step in (
+        Step.PREPARED,
+        Step.FENCED,
+        Step.DRAINING,
+        Step.RESTING,
+        Step.SWITCHED,
+        Step.DONE,
+        Step.UNDONE,
+    )
+}
+
+FAMILIES = (
+    Family("peer_frames", PEER_FRAMES, peers.encode, decode_peer_frame),
+    Family("quorum_records", QUORUM_RECORDS, msgspec.msgpack.encode, QUORUM_RECORD_DECODER.decode),
+    Family("copy_records", COPY_RECORDS, msgspec.msgpack.encode, COPY_RECORD_DECODER.decode),
+    Family("lease_wishes", LEASE_WISHES, leases.encode_wish, leases._WISHES.decode),
+    Family("moves", MOVES, msgspec.json.encode, MOVE_DECODER.decode),
+    Family("control_requests", CONTROL_REQUESTS, control.encode_request,
+           without_length(control.decode_request)),
+    Family("control_replies", CONTROL_REPLIES, control.encode_reply, without_length(control.decode_reply)),
+    Family("assignments", {"assigned": ASSIGNED}, msgspec.json.encode,
+           msgspec.json.Decoder(copies.Assigned).decode),
+    Family("lease_table", {"table": lease_table()}, lambda table: table.dump(),
+           lambda data: leases.LeaseTable.load(data)),
+)  # fmt: skip
--- /dev/null
+++ b/tests/golden/golden_stores.py
@@ -0,0 +1,56 @@
+"""The records of the hand-made logs in `stored/made`, in the order in which they were written."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from golden_messages import HOLDINGS, CopiesIdentity, Kind, copies, lease_table, leases, quorum
+
+from lotusstream.quorum.journal import write_members
+from lotusstream.record.log import Log
+
+FOUNDERS = tuple(quorum.Member(f"g{at}", f"g{at}-disk") for at in (1, 2, 3))
+LEARNER = quorum.Member("g4", "g4-disk", False)
+
+
+def _command(term: int, task: str, holder: str) -> quorum.Entry:
+    wish = leases.Acquire(task, holder, f"{holder}-session", 1)
+    return quorum.Entry(term, Kind.COMMAND, leases.encode_wish(wish))
+
+
+QUORUM_LOG = (
+    quorum.Identity("g1-disk"),
+    quorum.Ballot(1, "g2-disk"),
+    quorum.Whole(quorum.Snapshot(7, 2, "g1-disk-3", FOUNDERS, lease_table().dump())),
+    quorum.Entries(8, (quorum.Entry(2, Kind.NOTHING), _command(2, "lost", "g9"), _command(2, "lost", "g9"))),
+    quorum.Ballot(3, "g2-disk"),
+    # entries of a later term in place of 9 and 10
+    quorum.Entries(
+        9,
+        (
+            quorum.Entry(3, Kind.NOTHING),
+            _command(3, "examine", "g3"),
+            quorum.Entry(3, Kind.MEMBERS, write_members((*FOUNDERS, LEARNER))),
+        ),
+    ),
+    quorum.Ballot(4, "g3-disk"),
+)
+COPIES_LOG = (
+    CopiesIdentity("g1-disk"),
+    copies.KeptOp(0, copies.Op(1, 1, HOLDINGS[0])),
+    copies.KeptWhole(0, 3, 17, HOLDINGS[:1], 0, 2),
+    copies.KeptWhole(0, 3, 17, HOLDINGS[1:2], 1, 2),
+    copies.KeptOp(0, copies.Op(3, 18, HOLDINGS[2])),
+    copies.KeptOp(1, copies.Op(2, 1, HOLDINGS[0])),
+    copies.KeptWhole(1, 4, 20, HOLDINGS[1:], 0, 2),  # its second part never came
+)
+MADE = {"quorum.log": QUORUM_LOG, "copies.log": COPIES_LOG}
+
+
+def write_log(path: Path, records: Iterable[Any]) -> None:
+    log = Log(str(path)).open()
+    log.append(*map(msgspec.msgpack.encode, records))
+    log.close()
--- /dev/null
+++ b/tests/golden/test_golden_http.py
@@ -0,0 +1,65 @@
+"""HTTP between the gateway and engines keeps its bytes, and what answers mean."""
+
+from __future__ import annotations
+
+import pytest
+from golden_data import DATA, read_bytes
+
+from lotusstream.interface import Note, Outcome
+from lotusstream.protocol import http
+
+HOST, CALL = "127.0.0.1:7000", "/x/00000000000000aa"
+START = http.start_headers("00000000000000aa", "load", 5_999_999, "m" * 8, 3)
+PLAIN_START = http.start_headers("00000000000000aa", "lookup", 10, None, None)
+REQUESTS = {
+    "start": ("POST", "/x", HOST, START, b"SELECT a FROM sales_3.t"),
+    "start-plain": ("POST", "/x", HOST, PLAIN_START, b""),
+    "page": ("GET", f"{CALL}/0", HOST, {}),
+    "delete": ("DELETE", CALL, HOST, {}),
+    "priority": ("PUT", CALL, HOST, {}, b"7"),
+    "poll": ("GET", "/board/poll?watch=3&linger=250", HOST, {}),
+}
+ROWS = b"a\tb\tc\n"
+ANSWERS = {
+    "answered": http.QueryNews(Outcome.ANSWERED, None, 0.0, 2, ROWS, 80_500, 100.25),
+    "answered-plain": http.QueryNews(Outcome.ANSWERED, None, 0.0, 1, ROWS, None, None),
+    "progress": http.QueryNews(None, Note.PROGRESS, 0.5),
+    "spills": http.QueryNews(None, Note.SPILLS, 12.0),
+    "waits-for-memory": http.QueryNews(None, Note.WAITS_FOR_MEMORY, 1.0),
+    "waits-for-load": http.QueryNews(None, Note.WAITS_FOR_LOAD, 2.0),
+    "waits-for-what": http.QueryNews(None, None, 0.0),
+    "pending": http.QueryNews(None, None, 0.0),
+    "full": http.QueryNews(Outcome.FULL),
+    "moot": http.QueryNews(Outcome.MOOT),
+    "error": None,
+    "unavailable": None,
+    "spoilt-rows": None,
+}
+
+
+@pytest.mark.parametrize("name", REQUESTS)
+def test_a_request_keeps_its_bytes(name: str) -> None:
+    assert http.request(*REQUESTS[name]).decode() == read_bytes("http_requests")[name].decode()
+
+
+def read_answer(data: bytes) -> http.Answer:
+    reader = http.AnswerReader(http.PAGE_BYTES)
+    reader.feed(memoryview(data))
+    assert reader.answer is not None
+    return reader.answer
+
+
+@pytest.mark.parametrize("name", ANSWERS)
+def test_an_answer_keeps_its_meaning(name: str) -> None:
+    """The answers are hand-made: they stand in a folder of their own, a file each."""
+    data = (DATA / "http_answers" / f"{name}.http").read_bytes()
+    assert http.query_news(read_answer(data)) == ANSWERS[name]
+
+
+def test_an_answer_is_read_with_its_head_and_body() -> None:
+    data = (DATA / "http_answers" / "answered-plain.http").read_bytes()
+    headers = {"result-pages": "1", "content-length": "6"}
+    assert read_answer(data) == http.Answer(200, headers, ROWS, True, False)
+    assert read_answer(data + b"HTTP/1.1 200 OK\r\n") == http.Answer(200, headers, ROWS, False, False)
+    assert http.page_rows(read_answer(data), 0) == ROWS
+    assert http.page_rows(read_answer(data), 1) is None
