--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -14,9 +14,9 @@
 
 from benchmarks.fleet import LOOKUP, PROFILES, REPORT, Fleet, Outcome, S, Script, Wish
 from lotusstream import interface as api
-from lotusstream.cells.blame import Blame
-from lotusstream.cells.draw import shard, shared_all, shared_some
-from lotusstream.cells.keeper import CellKeeper, InCells, MoveTenant, Written, moves_in
+from lotusstream.cells.assignment import shard, shared_all, shared_some
+from lotusstream.cells.controller import CellAdmission, CellController, MoveTenant, Written, moves_in
+from lotusstream.cells.fault_attribution import FaultAttribution
 from lotusstream.cells.move import Move, Step, terms
 from lotusstream.cells.plan import Cell, Engines, Plan, Source, TenantSource
 from lotusstream.cells.trie import NameTrie
@@ -60,24 +60,30 @@
             self.at(self.now + 40_000, self._poisons)
 
     def tell(self, event: api.Event) -> None:
-        if isinstance(event, api.Arrived):
-            wish = self.open[event.command][0]
+        if isinstance(event, api.RequestReceived):
+            wish = self.open[event.request_id][0]
             tenant = self.by_wish.get(id(wish))
             if tenant is None:
                 tenant = self.by_wish[id(wish)] = self.draw.choice(TENANTS)
                 self.kept.append(wish)
-                self.asked[tenant] += PROFILES[wish.profile].benefit
-            event = api.Arrived(
-                event.command, event.profile, event.hint, None, event.client_timeout, event.group, None,
+                self.asked[tenant] += PROFILES[wish.profile].priority_weight
+            event = api.RequestReceived(
+                event.request_id,
+                event.profile,
+                event.work_hint,
+                None,
+                event.client_timeout,
+                event.group,
+                None,
                 tenant=tenant,
-            )  # fmt: skip
+            )
         super().tell(event)
 
     def _answered(self, command: int) -> None:
         if (held := self.open.get(command)) is not None:
             wish = held[0]
-            if self.now - wish.asked <= PROFILES[wish.profile].target:
-                self.met[self.by_wish[id(wish)]] += PROFILES[wish.profile].benefit
+            if self.now - wish.asked <= PROFILES[wish.profile].latency_objective:
+                self.met[self.by_wish[id(wish)]] += PROFILES[wish.profile].priority_weight
         super()._answered(command)
 
     def others(self) -> float:
@@ -109,8 +115,8 @@
     make = PLANS[variant]
     module: Any = Gateway()
     if make is not None:
-        keeper = CellKeeper(make(), terms(PROFILES, 2 * S, 30 * S), PROFILES)
-        module = InCells(Gateway().handle, keeper, lambda _: None, lambda _: None)
+        keeper = CellController(make(), terms(PROFILES, 2 * S, 30 * S), PROFILES)
+        module = CellAdmission(Gateway().handle, keeper, lambda _: None, lambda _: None)
     engines = ((0, 8.0),) * 3 + ((1, 8.0),) * 3
     fleet = Tenants(Script(END, rate, engines=engines), seed, module, poison)
     out = fleet.run()
@@ -130,9 +136,9 @@
     """Every tenant is moved on to the next cell, one begun in each two seconds, under load."""
 
     def __init__(self, seed: int) -> None:
-        self.keeper = CellKeeper(three_cells(), terms(PROFILES, HOLD, 30 * S), PROFILES)
+        self.keeper = CellController(three_cells(), terms(PROFILES, HOLD, 30 * S), PROFILES)
         self.written: list[Move] = []
-        module = InCells(Gateway().handle, self.keeper, self._write, lambda _: None)
+        module = CellAdmission(Gateway().handle, self.keeper, self._write, lambda _: None)
         super().__init__(Script(END, rate, engines=((0, 8.0),) * 3 + ((1, 8.0),) * 3), seed, module, False)
         self.came: dict[int, int] = {}
         self.longest, self.behind = 0, 0
@@ -155,19 +161,19 @@
         self._act(self.module.handle(self.now, event))  # type: ignore[arg-type]
 
     def tell(self, event: api.Event) -> None:
-        if isinstance(event, api.Arrived):
-            self.came[event.command] = self.now
+        if isinstance(event, api.RequestReceived):
+            self.came[event.request_id] = self.now
         super().tell(event)
 
     def _act(self, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send | api.Shed | api.Fail):
-                came = self.came.pop(action.command, None)
+            if isinstance(action, api.StartAttempt | api.RejectRequest | api.FailRequest):
+                came = self.came.pop(action.request_id, None)
                 if came is not None and self.now > came:
                     self.behind += 1
                     self.longest = max(self.longest, self.now - came)
-            if isinstance(action, api.Shed | api.Fail):
-                self.finals[action.command] = self.finals.get(action.command, 0) + 1
+            if isinstance(action, api.RejectRequest | api.FailRequest):
+                self.finals[action.request_id] = self.finals.get(action.request_id, 0) + 1
         super()._act(actions)
 
     def _answered(self, command: int) -> None:
@@ -242,7 +248,7 @@
     copied = dict(moved)
     change = timed(lambda: moved.set(entries[next(at) % 99_000], "b"))
     copy = timed(lambda: {**copied, entries[next(at) % 99_000]: "b"}, least=0.05)
-    blame, plain, clock = Blame(1000, 30 * S), dict[str, float](), iter(range(0, 10**15, 100))
+    blame, plain, clock = FaultAttribution(1000, 30 * S), dict[str, float](), iter(range(0, 10**15, 100))
     add = timed(lambda: blame.add(next(clock), f"t{next(at) % 100_000}", 1.0))
 
     def counted() -> None:
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -24,8 +24,8 @@
 from lotusstream.copies.messages import Held, Holding
 from lotusstream.copies.shards import SHARDS, shard_of
 from lotusstream.lab.copies import play
-from lotusstream.lab.fleet.customers import Customers, Told
-from lotusstream.lab.fleet.keeping import Keeping
+from lotusstream.lab.fleet.clients import Customers, Told
+from lotusstream.lab.fleet.idempotency_client import Keeping
 from lotusstream.lab.fleet.rig import FleetRig, Gateway
 from lotusstream.lab.fleet.run import KEEPS, QUICK
 from lotusstream.lab.fleet.run import SHARDS as SHARDS_THERE
--- a/benchmarks/examine.py
+++ b/benchmarks/examine.py
@@ -13,9 +13,9 @@
 
 from benchmarks.fleet import MS, S, started
 from lotusstream import interface as api
-from lotusstream.examine import examiner as ex
-from lotusstream.examine import hearsay as hs
-from lotusstream.examine.news import ExamineTerms
+from lotusstream.healthcheck import checker as ex
+from lotusstream.healthcheck import peer_reports as hs
+from lotusstream.healthcheck.reports import HealthCheckOptions
 from lotusstream.policy import Gateway
 
 DOWN, UP, END = 10 * S, 55 * S, 75 * S  # the first engine is lost between the first two
@@ -57,14 +57,16 @@
         self._modules = [Gateway() for _ in range(gateways)]
         self._tries: dict[tuple[int, int], int] = {}
         self.played = Played()
-        listed = tuple(api.Engine(name, api.State.READY, 0, 0, 0, 0) for name in self._engines)
+        listed = tuple(
+            api.EndpointEntry(name, api.EndpointStatus.READY, 0, 0, 0, 0) for name in self._engines
+        )
         for at, module in enumerate(self._modules):
             module.handle(0, started(at + 1, gateways))
-            self._tell(0, at, api.EngineNews(api.ListKind.FULL, listed))
+            self._tell(0, at, api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, listed))
             self._push(int(self._draw.expovariate(rate) * S), ("arrival", at))
-        terms = ExamineTerms(EVERY)
-        self._examiner = ex.Examiner(1, terms, 0) if examined else None
-        self._hearing = [hs.Hearsay(f"g{at}", ("k",), terms, 0) for at in range(gateways)]
+        terms = HealthCheckOptions(EVERY)
+        self._examiner = ex.HealthChecker(1, terms, 0) if examined else None
+        self._hearing = [hs.PeerReports(f"g{at}", ("k",), terms, 0) for at in range(gateways)]
         if self._examiner is not None:
             self._examine(0, ex.Listed(tuple(self._engines)))
             self._push(0, ("tick", 0))
@@ -94,15 +96,15 @@
     def _arrive(self, now: int, at: int) -> None:
         self._push(now + int(self._draw.expovariate(self._rate) * S), ("arrival", at))
         group = int(self._draw.paretovariate(0.9))
-        self._tell(now, at, api.Arrived(next(self._ids), 0, 50 * MS, None, 6 * S, group, None))
+        self._tell(now, at, api.RequestReceived(next(self._ids), 0, 50 * MS, None, 6 * S, group, None))
 
     def _tell(self, now: int, at: int, event: api.Event) -> None:
         module = self._modules[at]
-        for action in [*module.handle(now, event), *module.handle(now, api.Settled())]:
+        for action in [*module.handle(now, event), *module.handle(now, api.BatchEnded())]:
             match action:
-                case api.Wake(when, token):
-                    self._push(max(now, when), ("event", (at, api.Woken(token))))
-                case api.Send(command, engine):
+                case api.SetTimer(when, token):
+                    self._push(max(now, when), ("event", (at, api.TimerFired(token))))
+                case api.StartAttempt(command, engine):
                     self._send(now, at, command, engine)
 
     def _send(self, now: int, at: int, command: int, engine: bytes) -> None:
@@ -118,7 +120,7 @@
             played.back.setdefault(at, now - UP)
             played.after.append(now)
         work = None if lost else 50 * MS
-        ended = api.Ended(command, number, engine, outcome, span, False, work, None, None, not lost)
+        ended = api.AttemptEnded(command, number, engine, outcome, span, False, work, None, None, not lost)
         self._push(now + span, ("event", (at, ended)))
 
     def _examine(self, now: int, event: ex.Event) -> None:
@@ -133,7 +135,7 @@
                 case ex.Tell(news):
                     for at, here in enumerate(self._hearing):
                         for word in here.handle(now, hs.Heard(news)):
-                            if isinstance(word, api.Hearsay):
+                            if isinstance(word, api.PeerHealthReported):
                                 self._push(now + ON_THE_WAY, ("event", (at, word)))
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from lotusstream import interface as api
-from lotusstream.ring import Ring
+from lotusstream.sliding_window import SlidingWindow
 
 MS, S = 1_000, 1_000_000
 PERIOD = 5 * MS
@@ -31,9 +31,21 @@
 
 def _profile(target: int, timeout: int, benefit: float, threads: int, kinds: Kinds) -> api.Profile:
     return api.Profile(
-        target, 0.0, timeout, benefit, 0.0, api.Effect.REPLAYABLE, api.Scope.ALL, 0, False, None, kinds,
-        False, False, threads,
-    )  # fmt: skip
+        target,
+        0.0,
+        timeout,
+        benefit,
+        0.0,
+        api.Idempotency.IDEMPOTENT,
+        api.DeduplicationScope.ALL,
+        0,
+        False,
+        None,
+        kinds,
+        False,
+        False,
+        threads,
+    )
 
 
 PROFILES = (
@@ -43,11 +55,11 @@
 WORKS = (200 * MS, 1600 * MS)  # mean, on one thread
 
 
-def started(seed: int, gateways: int = 1) -> api.Started:
-    duties = api.Duties(20 * MS, 0.3, 15 * S, 4.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
-    allowed = api.Allowed(4, True, True, False, False, True, 1000 * MS, False)
-    kinds = (api.Kind(8.0, 0.0), api.Kind(8.0, 0.0))
-    return api.Started(seed, gateways, PERIOD, PROFILES, kinds, 1.0, 0, False, allowed, duties)
+def started(seed: int, gateways: int = 1) -> api.GatewayStarted:
+    duties = api.RuleLimits(20 * MS, 0.3, 15 * S, 4.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
+    allowed = api.Capabilities(4, True, True, False, False, True, 1000 * MS, False)
+    kinds = (api.EndpointKind(8.0, 0.0), api.EndpointKind(8.0, 0.0))
+    return api.GatewayStarted(seed, gateways, PERIOD, PROFILES, kinds, 1.0, 0, False, allowed, duties)
 
 
 class Module(Protocol):
@@ -67,21 +79,21 @@
 class EngineModel:
     """Threads share the cores evenly; beyond the knee the whole slows down. Cold ones do a part of it."""
 
-    def __init__(self, name: bytes, kind: int, cores: float, duties: api.Duties) -> None:
+    def __init__(self, name: bytes, kind: int, cores: float, duties: api.RuleLimits) -> None:
         self.id, self.kind, self.cores, self.duties = name, kind, cores, duties
         self.up = True
         self.cold_at: int | None = None
         self.running: dict[tuple[int, int], Running] = {}
         self.threads, self.had, self.at = 0, 0.0, 0
         self.line: list[tuple[float, int, Running]] = []
-        self.pushed = Ring(duties.overload_for, 20)
+        self.pushed = SlidingWindow(duties.overload_window, 20)
         self.version = 0
 
     def warmth(self, now: int) -> float:
         if self.cold_at is None:
             return 1.0
-        part = min(1.0, (now - self.cold_at) / self.duties.warm_up)
-        return self.duties.cold_from + (1 - self.duties.cold_from) * part
+        part = min(1.0, (now - self.cold_at) / self.duties.slow_start_duration)
+        return self.duties.slow_start_initial_ratio + (1 - self.duties.slow_start_initial_ratio) * part
 
     def pace(self, now: int) -> float:
         """Service a thread gets in a time."""
@@ -169,7 +181,7 @@
         self.random = random.Random(seed)
         self.given = started(seed)
         self.engines = {
-            bytes([at + 1] * 6): EngineModel(bytes([at + 1] * 6), kind, cores, self.given.duties)
+            bytes([at + 1] * 6): EngineModel(bytes([at + 1] * 6), kind, cores, self.given.rule_limits)
             for at, (kind, cores) in enumerate(script.engines)
         }
         self.now = 0
@@ -191,8 +203,9 @@
     def run(self) -> Outcome:
         self.tell(self.given)
         self.tell(
-            api.EngineNews(
-                api.ListKind.FULL, tuple(self._entry(e, api.State.READY) for e in self.engines.values())
+            api.EndpointListReceived(
+                api.EndpointListKind.SNAPSHOT,
+                tuple(self._entry(e, api.EndpointStatus.READY) for e in self.engines.values()),
             )
         )
         for profile in range(len(NAMES)):
@@ -207,7 +220,7 @@
                 heapq.heappop(self.queue)[2]()
             if self.touched:
                 self.touched = False
-                self._act(self.module.handle(self.now, api.Settled()))
+                self._act(self.module.handle(self.now, api.BatchEnded()))
         return self.out
 
     def tell(self, event: api.Event) -> None:
@@ -220,8 +233,8 @@
         if self.now < (self.script.seconds + 30) * S:
             self.at(self.now + 250 * MS, self._tick)
 
-    def _entry(self, engine: EngineModel, state: api.State) -> api.Engine:
-        return api.Engine(engine.id, state, 0, 0, engine.kind, engine.cold_at or 0)
+    def _entry(self, engine: EngineModel, state: api.EndpointStatus) -> api.EndpointEntry:
+        return api.EndpointEntry(engine.id, state, 0, 0, engine.kind, engine.cold_at or 0)
 
     # Clients
 
@@ -235,7 +248,9 @@
             work = WORKS[profile] * self.random.lognormvariate(-0.125, 0.5)
             hint = int(work * self.random.lognormvariate(0.0, 0.3))
             wish = Wish(profile, self.now, work, max(1, hint), self.random.randrange(12))
-            self.out.asked[min(self.now // S, self.script.seconds - 1)][profile] += PROFILES[profile].benefit
+            self.out.asked[min(self.now // S, self.script.seconds - 1)][profile] += PROFILES[
+                profile
+            ].priority_weight
             self._try(wish)
         after = exactly + S * self.random.expovariate(max(rate, 1.0))
         self.at(after, partial(self._arrive, profile, after))
@@ -245,22 +260,22 @@
         timeout = PROFILES[wish.profile].client_timeout
         self.open[command] = (wish, self.now + timeout)
         self.at(self.now + timeout, lambda: self._too_late(command))
-        self.tell(api.Arrived(command, wish.profile, wish.hint, None, timeout, wish.group, None))
+        self.tell(api.RequestReceived(command, wish.profile, wish.hint, None, timeout, wish.group, None))
 
     def _too_late(self, command: int) -> None:
         if self.open.pop(command, None) is not None:
             self.out.lost += 1
-            self.tell(api.ClientGone(command))
+            self.tell(api.ClientDisconnected(command))
 
     def _answered(self, command: int) -> None:
         held = self.open.pop(command, None)
         if held is None:
             return
         wish = held[0]
-        if self.now - wish.asked <= PROFILES[wish.profile].target:
+        if self.now - wish.asked <= PROFILES[wish.profile].latency_objective:
             self.out.met[min(wish.asked // S, self.script.seconds - 1)][wish.profile] += PROFILES[
                 wish.profile
-            ].benefit
+            ].priority_weight
 
     def _turned_away(self, command: int, advice: int) -> None:
         held = self.open.pop(command, None)
@@ -278,16 +293,16 @@
     def _act(self, actions: list[api.Action]) -> None:
         for action in actions:
             match action:
-                case api.Send(command, engine):
+                case api.StartAttempt(command, engine):
                     self._send(command, engine)
-                case api.Shed(command, advice):
+                case api.RejectRequest(command, advice):
                     self._turned_away(command, advice)
-                case api.Fail(command):
+                case api.FailRequest(command):
                     self._turned_away(command, 0)
-                case api.Cancel(command, number):
+                case api.CancelAttempt(command, number):
                     self._cancel(command, number)
-                case api.Wake(when, token):
-                    self.at(when, partial(self.tell, api.Woken(token)))
+                case api.SetTimer(when, token):
+                    self.at(when, partial(self.tell, api.TimerFired(token)))
                 case _:
                     pass
 
@@ -296,7 +311,9 @@
         self.numbers[command] = number + 1
         self.out.sends += 1
         engine, held, began = self.engines[name], self.open.get(command), self.now
-        if held is None or not PROFILES[held[0].profile].open_to(self._entry(engine, api.State.READY)):
+        if held is None or not PROFILES[held[0].profile].admits(
+            self._entry(engine, api.EndpointStatus.READY)
+        ):
             self.out.broken += 1  # after its end, or off its place
             return
         if not engine.up or len(engine.running) >= SESSIONS:
@@ -306,8 +323,8 @@
         wish = held[0]
         if engine.warmth(self.now) < 1:
             engine.pushed.add(self.now, wish.work)
-            most = self.given.duties.fall_multiple * engine.cores * engine.warmth(self.now)
-            if engine.pushed.total(self.now)[0] > 1.3 * most * self.given.duties.overload_for:
+            most = self.given.rule_limits.overload_multiple * engine.cores * engine.warmth(self.now)
+            if engine.pushed.total(self.now)[0] > 1.3 * most * self.given.rule_limits.overload_window:
                 self.out.broken += 1  # pushed over
         engine.add(self.now, Running(command, number, PROFILES[wish.profile].threads, wish.work, self.now))
         self._plan(engine)
@@ -332,7 +349,7 @@
         over = run.command not in self.open
         self._answered(run.command)
         self.tell(
-            api.Ended(
+            api.AttemptEnded(
                 run.command, run.number, engine.id, api.Outcome.ANSWERED, self.now - run.began, over,
                 int(run.work), None, None, True,
             )
@@ -349,7 +366,9 @@
 
     def _ended(self, command: int, number: int, name: bytes, outcome: api.Outcome, began: int) -> None:
         over, heard = command not in self.open, outcome is api.Outcome.FULL
-        self.tell(api.Ended(command, number, name, outcome, self.now - began, over, None, None, None, heard))
+        self.tell(
+            api.AttemptEnded(command, number, name, outcome, self.now - began, over, None, None, None, heard)
+        )
 
     # Faults
 
@@ -363,14 +382,17 @@
             engine.threads = 0
             for run in runs:
                 self._ended(run.command, run.number, name, api.Outcome.RESET, self.now)
-        gone = tuple(self._entry(self.engines[name], api.State.GONE) for name in names)
-        self.at(self.now + LIST_DELAY, lambda: self.tell(api.EngineNews(api.ListKind.CHANGES, gone)))
+        gone = tuple(self._entry(self.engines[name], api.EndpointStatus.REMOVED) for name in names)
+        self.at(
+            self.now + LIST_DELAY,
+            lambda: self.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, gone)),
+        )
         self.at(self.now + back * S, lambda: self._return(names))
 
     def _return(self, names: list[bytes]) -> None:
         for name in names:
             engine = self.engines[name]
             engine.up, engine.cold_at, engine.at = True, self.now, self.now
-            engine.had, engine.pushed = 0.0, Ring(self.given.duties.overload_for, 20)
-        ready = tuple(self._entry(self.engines[name], api.State.READY) for name in names)
-        self.at(self.now + S, lambda: self.tell(api.EngineNews(api.ListKind.CHANGES, ready)))
+            engine.had, engine.pushed = 0.0, SlidingWindow(self.given.rule_limits.overload_window, 20)
+        ready = tuple(self._entry(self.engines[name], api.EndpointStatus.READY) for name in names)
+        self.at(self.now + S, lambda: self.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, ready)))
--- a/benchmarks/ladders.py
+++ b/benchmarks/ladders.py
@@ -8,7 +8,7 @@
 from benchmarks.fleet import NAMES, Module
 from lotusstream import interface as api
 from lotusstream.levels.condition import Compare, Condition
-from lotusstream.levels.keeper import Beside, LevelKeeper
+from lotusstream.levels.controller import LevelAdmission, LevelController
 from lotusstream.levels.ladder import Ladder, Level
 from lotusstream.operator.file import load_operator_file
 from lotusstream.policy import Gateway
@@ -22,15 +22,15 @@
     return ladder
 
 
-def with_ladder(ladder: Ladder, given: api.Started) -> Beside:
-    return Beside(Gateway().handle, LevelKeeper(ladder, given, NAMES))
+def with_ladder(ladder: Ladder, given: api.GatewayStarted) -> LevelAdmission:
+    return LevelAdmission(Gateway().handle, LevelController(ladder, given, NAMES))
 
 
 class FixedThreshold:
     """Baseline: half of the lookups are refused whenever load was over the limit a moment ago, and none
     otherwise. No hysteresis, no ramp, no least stay."""
 
-    def __init__(self, given: api.Started, limit: float = 1.0, admit: float = 0.5) -> None:
+    def __init__(self, given: api.GatewayStarted, limit: float = 1.0, admit: float = 0.5) -> None:
         above = Condition(Compare(("load", None), above=True, limit=limit))
         below = Condition(Compare(("load", None), above=False, limit=limit, reaches=True))
         level = Level("cut", above, below, 0, {"lookup": admit})
@@ -45,28 +45,31 @@
 
     INTERVAL, PART = 500_000, 0.1
 
-    def __init__(self, given: api.Started) -> None:
+    def __init__(self, given: api.GatewayStarted) -> None:
         self._given, self._module = given, Gateway()
         self._waiting: dict[int, tuple[int, int]] = {}
         self._least, self._until, self._count = 1.0, 0, 0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         actions = list(self._module.handle(now, event))
-        if isinstance(event, api.Arrived):
-            self._waiting[event.command] = (now, event.profile)
+        if isinstance(event, api.RequestReceived):
+            self._waiting[event.request_id] = (now, event.profile)
         for action in actions:
-            if isinstance(action, api.Send | api.Shed | api.Fail) and action.command in self._waiting:
-                at, profile = self._waiting.pop(action.command)
-                self._least = min(self._least, (now - at) / self._given.profiles[profile].target)
-        if isinstance(event, api.Settled) and now >= self._until:
+            if (
+                isinstance(action, api.StartAttempt | api.RejectRequest | api.FailRequest)
+                and action.request_id in self._waiting
+            ):
+                at, profile = self._waiting.pop(action.request_id)
+                self._least = min(self._least, (now - at) / self._given.profiles[profile].latency_objective)
+        if isinstance(event, api.BatchEnded) and now >= self._until:
             bad = self._least > self.PART and bool(self._waiting)
             self._count = self._count + 1 if bad else max(0, self._count - 2)
             self._least, self._until = 1.0, now + self.INTERVAL
             part = max(0.1, 1.0 - 0.1 * self._count)
-            reduced = api.Reduced((part, 1.0), api.Further.ALL, None, (None, None))
+            reduced = api.DegradationChanged((part, 1.0), api.RetriesAllowed.ALL, None, (None, None))
             actions += self._module.handle(now, reduced)
         return actions
 
 
-def plain(_given: api.Started) -> Module:
+def plain(_given: api.GatewayStarted) -> Module:
     return Gateway()
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from benchmarks.planted_leases import PLANTED, caught
-from lotusstream.lab.fleet.askers import Asker
+from lotusstream.lab.fleet.lock_clients import Asker
 from lotusstream.lab.fleet.relay import Relay
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.lab.fleet.run import play as play_on_processes
@@ -27,7 +27,7 @@
 from lotusstream.leases.granter import LeaseTerms
 from lotusstream.leases.table import Acquire, encode_wish
 from lotusstream.net.actor import Supervisor
-from lotusstream.record.log import Log
+from lotusstream.wal.log import Log
 
 US = 1_000_000
 LEASE = 2.0  # seconds, on the rig
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -12,12 +12,12 @@
 from benchmarks.fleet import LOOKUP, NAMES, REPORT, Fleet, Outcome, S, Script, started
 from benchmarks.ladders import FixedThreshold, QueueDelay, plain, shipped, with_ladder
 from lotusstream import interface as api
-from lotusstream.levels.keeper import Beside, LevelKeeper
+from lotusstream.levels.controller import LevelAdmission, LevelController
 from lotusstream.policy import Gateway
 
 SEEDS = (1, 2, 3)
 FLOOD_AT, CRASH_AT, BACK_AFTER, CALM_AT, END = 30, 45, 30, 100, 160
-MAKERS: dict[str, Callable[[api.Started], Any]] = {
+MAKERS: dict[str, Callable[[api.GatewayStarted], Any]] = {
     "levels": lambda given: with_ladder(shipped(), given),
     "without": plain,
     "fixed_threshold": FixedThreshold,
@@ -96,26 +96,30 @@
     given = started(1)
     module: Any = Gateway()
     if levels:
-        module = Beside(Gateway().handle, LevelKeeper(shipped(), given, NAMES))
-    engines = tuple(api.Engine(bytes([at] * 6), api.State.READY, 0, 0, 1, 0) for at in range(6))
+        module = LevelAdmission(Gateway().handle, LevelController(shipped(), given, NAMES))
+    engines = tuple(
+        api.EndpointEntry(bytes([at] * 6), api.EndpointStatus.READY, 0, 0, 1, 0) for at in range(6)
+    )
     module.handle(0, given)
-    module.handle(0, api.EngineNews(api.ListKind.FULL, engines))
+    module.handle(0, api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, engines))
     count, now, out = 20_000, 0, list[tuple[int, bytes]]()
     began = time.process_time()
     for command in range(count):
         now += 8000
         events: list[api.Event] = [
-            api.Arrived(command, command % 7 == 0, 200_000, None, 6 * S, command % 12, None)
+            api.RequestReceived(command, command % 7 == 0, 200_000, None, 6 * S, command % 12, None)
         ]
         if len(out) > 20:
             done, engine = out.pop(0)
             events.append(
-                api.Ended(done, 0, engine, api.Outcome.ANSWERED, 200_000, False, 200_000, None, None, True)
+                api.AttemptEnded(
+                    done, 0, engine, api.Outcome.ANSWERED, 200_000, False, 200_000, None, None, True
+                )
             )
-        for event in (*events, api.Settled()):
+        for event in (*events, api.BatchEnded()):
             for action in module.handle(now, event):
-                if isinstance(action, api.Send):
-                    out.append((action.command, action.engine))
+                if isinstance(action, api.StartAttempt):
+                    out.append((action.request_id, action.endpoint_id))
     return (time.process_time() - began) / count * 1e6
 
 
--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -8,11 +8,11 @@
 from typing import Any
 from unittest import mock
 
-from lotusstream.copies import claims as cl
+from lotusstream.copies import idempotency as cl
 from lotusstream.copies import messages as ms
-from lotusstream.copies.claims import Claims
-from lotusstream.copies.manager import Manager
-from lotusstream.copies.replica import Replicas, Shard
+from lotusstream.copies.idempotency import Claims
+from lotusstream.copies.replica import ReplicaSet, Shard
+from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shards import shard_of
 from lotusstream.lab.copies import CopyScene, CopyWorld, play
 from lotusstream.lab.world import Broken
@@ -29,40 +29,40 @@
 
 def _one_disk_is_enough() -> Any:
     """Promised once the home's own disk has it."""
-    drive = Replicas._drive
+    drive = ReplicaSet._drive
 
-    def hasty(self: Replicas, shard: Shard) -> None:
+    def hasty(self: ReplicaSet, shard: Shard) -> None:
         copied, shard.copied = shard.copied, dict.fromkeys(shard.copies(), 1 << 60)
         drive(self, shard)
         shard.copied = copied
 
-    return mock.patch.object(Replicas, "_drive", hasty)
+    return mock.patch.object(ReplicaSet, "_drive", hasty)
 
 
 def _before_its_own_disk() -> Any:
     """A copy says so before it has written a change down."""
-    say = Replicas._say
+    say = ReplicaSet._say
 
-    def hasty(self: Replicas, to: Any, word: Any, *, rests: bool) -> None:
+    def hasty(self: ReplicaSet, to: Any, word: Any, *, rests: bool) -> None:
         say(self, to, word, rests=False)
 
-    return mock.patch.object(Replicas, "_say", hasty)
+    return mock.patch.object(ReplicaSet, "_say", hasty)
 
 
 def _no_lease() -> Any:
     """A home that is cut off goes on as one."""
-    return mock.patch.object(Replicas, "leased", property(lambda self: True))
+    return mock.patch.object(ReplicaSet, "leased", property(lambda self: True))
 
 
 def _joining_counts_at_once() -> Any:
     """A disk that is being filled may become the home."""
-    mend = Manager._mend
+    mend = ShardController._mend
 
-    def eager(self: Manager, now: int, known: ms.Assigned, out: Any) -> bool:
+    def eager(self: ShardController, now: int, known: ms.Assigned, out: Any) -> bool:
         whole = replace_assigned(known)
         return mend(self, now, whole, out)
 
-    return mock.patch.object(Manager, "_mend", eager)
+    return mock.patch.object(ShardController, "_mend", eager)
 
 
 def replace_assigned(known: ms.Assigned) -> ms.Assigned:
@@ -84,26 +84,26 @@
 
 def _unpromised_is_told() -> Any:
     """Whoever asks hears of a change that is not on all disks yet."""
-    able = Replicas._able
+    able = ReplicaSet._able
 
-    def open_to_all(self: Replicas, ticket: int, key: str) -> Shard | None:
+    def open_to_all(self: ReplicaSet, ticket: int, key: str) -> Shard | None:
         shard = able(self, ticket, key)
         if shard is not None:
             shard.open_keys.pop(key, None)
         return shard
 
-    return mock.patch.object(Replicas, "_able", open_to_all)
+    return mock.patch.object(ReplicaSet, "_able", open_to_all)
 
 
 def _repair_from_what_is_behind() -> Any:
     """A copy is taken for whole whatever it lacks."""
-    fill = Replicas._fill
+    fill = ReplicaSet._fill
 
-    def stale(self: Replicas, shard: Shard, to: Any, stand: ms.Stand) -> None:
+    def stale(self: ReplicaSet, shard: Shard, to: Any, stand: ms.Stand) -> None:
         fill(self, shard, to, stand)
         shard.copied[to] = shard.last[1]
 
-    return mock.patch.object(Replicas, "_fill", stale)
+    return mock.patch.object(ReplicaSet, "_fill", stale)
 
 
 def _sent_before_the_promise() -> Any:
@@ -159,14 +159,14 @@
 
 def _any_claim_takes_over() -> Any:
     """A home that does not compare before it sets."""
-    claim = Replicas._claim
+    claim = ReplicaSet._claim
 
-    def open_to_all(self: Replicas, ticket: int, wanted: ms.Holding, unix: int, after: str) -> None:
+    def open_to_all(self: ReplicaSet, ticket: int, wanted: ms.Holding, unix: int, after: str) -> None:
         number = shard_of(wanted.key, self._terms.shards)
         known = self._shard(number).holdings.get(wanted.key)
         claim(self, ticket, wanted, unix, known.gateway if known is not None else after)
 
-    return mock.patch.object(Replicas, "_claim", open_to_all)
+    return mock.patch.object(ReplicaSet, "_claim", open_to_all)
 
 
 def _taken_back_though_it_ran() -> Any:
--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -15,8 +15,8 @@
 from lotusstream.leases.granter import Granter, LeaseTerms
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.journal import Journal
-from lotusstream.quorum.keeper import Keeper
+from lotusstream.quorum.node import RaftNode
+from lotusstream.quorum.replicated_log import Journal
 
 SCENE = Scene()
 
@@ -32,12 +32,12 @@
 
 def _before_fsync() -> Any:
     """Votes and acknowledgements leave before what they rest on is on the disk."""
-    say = Keeper._say
+    say = RaftNode._say
 
-    def hasty(self: Keeper, to: str, to_disk: str, body: Any, *, rests: bool) -> None:
+    def hasty(self: RaftNode, to: str, to_disk: str, body: Any, *, rests: bool) -> None:
         say(self, to, to_disk, body, rests=False)
 
-    return mock.patch.object(Keeper, "_say", hasty)
+    return mock.patch.object(RaftNode, "_say", hasty)
 
 
 def _from_the_reply() -> Any:
@@ -66,11 +66,11 @@
 
 
 def _half_is_enough() -> Any:
-    def half(self: Keeper, disks: set[str]) -> bool:
+    def half(self: RaftNode, disks: set[str]) -> bool:
         voters = [member.disk for member in self._voters()]
         return 2 * sum(disk in disks for disk in voters) >= len(voters)
 
-    return mock.patch.object(Keeper, "_majority", half)
+    return mock.patch.object(RaftNode, "_majority", half)
 
 
 def _wiped_disk_votes() -> Any:
@@ -89,7 +89,7 @@
         node.disk.synced = [ms.Identity(keeper.disk), ms.Whole(founders)]
         self.back(node, 100_000)
 
-    trusting = mock.patch("lotusstream.quorum.keeper.older_copy", lambda mine, heard: False)
+    trusting = mock.patch("lotusstream.quorum.node.older_copy", lambda mine, heard: False)
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(virtual.VirtualFleet, "_fault_wipe", wiped))
     stack.enter_context(trusting)
@@ -97,17 +97,17 @@
 
 
 def _older_copy_votes() -> Any:
-    return mock.patch("lotusstream.quorum.keeper.older_copy", lambda mine, heard: False)
+    return mock.patch("lotusstream.quorum.node.older_copy", lambda mine, heard: False)
 
 
 def _stale_read() -> Any:
     """A leader answers reads without asking whether it still leads."""
 
-    def serve(self: Keeper) -> None:
+    def serve(self: RaftNode) -> None:
         self._out += [ev.Ready(reading.ticket) for reading in self._readings]
         self._readings = []
 
-    return mock.patch.object(Keeper, "_serve_readings", serve)
+    return mock.patch.object(RaftNode, "_serve_readings", serve)
 
 
 def _forgotten_token() -> Any:
@@ -137,13 +137,13 @@
 
 def _no_log_check() -> Any:
     """A vote for whoever asks, whatever its log lacks."""
-    asked = Keeper._asked
+    asked = RaftNode._asked
 
-    def kind(self: Keeper, envelope: Any, ask: Any) -> None:
+    def kind(self: RaftNode, envelope: Any, ask: Any) -> None:
         better = type(ask)(ask.term, 10**9, 10**9, ask.pre, ask.forced)
         asked(self, envelope, better)
 
-    return mock.patch.object(Keeper, "_asked", kind)
+    return mock.patch.object(RaftNode, "_asked", kind)
 
 
 def _cut_is_forgotten() -> Any:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -59,15 +59,16 @@
         self._order = itertools.count()
         self._sends: dict[int, int] = {}
         self._entries = tuple(
-            api.Engine(b"s-%08x" % number, api.State.READY, 0, 0, 0, 0) for number in range(servers)
+            api.EndpointEntry(b"s-%08x" % number, api.EndpointStatus.READY, 0, 0, 0, 0)
+            for number in range(servers)
         )
         self._handle(0, _started(CAPACITY / servers))
 
     def cost(self, seconds: int) -> ModuleCost:
-        first_list = self._timed(S, api.EngineNews(api.ListKind.FULL, self._entries))
+        first_list = self._timed(S, api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, self._entries))
         for number in range(RATE * seconds):
             profile = 0 if number % 16 else 1
-            arrived = api.Arrived(number, profile, LATENCY, None, 3 * S, number * 7 % GROUPS, None)
+            arrived = api.RequestReceived(number, profile, LATENCY, None, 3 * S, number * 7 % GROUPS, None)
             self._push(S + number * S // RATE, arrived)
         spent = 0.0
         now = S
@@ -76,13 +77,15 @@
             spent += self._timed(now, event)
         changes = []
         for number in range(20):
-            entry = replace(self._entries[number], state=api.State.DRAINING)
-            changes.append(self._timed(now + number, api.EngineNews(api.ListKind.CHANGES, (entry,))))
+            entry = replace(self._entries[number], status=api.EndpointStatus.DRAINING)
+            changes.append(
+                self._timed(now + number, api.EndpointListReceived(api.EndpointListKind.DELTA, (entry,)))
+            )
         return ModuleCost(spent / (RATE * seconds), first_list, sorted(changes)[len(changes) // 2])
 
     def _timed(self, now: int, event: api.Event) -> float:
         began = time.perf_counter()
-        actions = [*self._handle(now, event), *self._handle(now, api.Settled())]
+        actions = [*self._handle(now, event), *self._handle(now, api.BatchEnded())]
         spent = time.perf_counter() - began
         for action in actions:
             self._carry_out(now, action)
@@ -92,15 +95,15 @@
         return self._module.handle(now, event)
 
     def _carry_out(self, now: int, action: api.Action) -> None:
-        if isinstance(action, api.Wake):
-            self._push(action.at, api.Woken(action.token))
-        elif isinstance(action, api.Send):
-            number = self._sends.get(action.command, 0)
-            self._sends[action.command] = number + 1
-            ended = api.Ended(
-                action.command,
+        if isinstance(action, api.SetTimer):
+            self._push(action.at, api.TimerFired(action.token))
+        elif isinstance(action, api.StartAttempt):
+            number = self._sends.get(action.request_id, 0)
+            self._sends[action.request_id] = number + 1
+            ended = api.AttemptEnded(
+                action.request_id,
                 number,
-                action.engine,
+                action.endpoint_id,
                 api.Outcome.ANSWERED,
                 LATENCY,
                 True,
@@ -115,15 +118,28 @@
         heapq.heappush(self._queue, (at, next(self._order), event))
 
 
-def _started(cores: float) -> api.Started:
+def _started(cores: float) -> api.GatewayStarted:
     lookup = api.Profile(
-        S, 0.0, 3 * S, 1.0, 0.1, api.Effect.REPLAYABLE, api.Scope.ALL, 0, False, None, None, False, True, 1
+        S,
+        0.0,
+        3 * S,
+        1.0,
+        0.1,
+        api.Idempotency.IDEMPOTENT,
+        api.DeduplicationScope.ALL,
+        0,
+        False,
+        None,
+        None,
+        False,
+        True,
+        1,
     )
-    load = replace(lookup, loads=True, waits=False, threads=2)
-    duties = api.Duties(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
-    allowed = api.Allowed(4, True, True, False, False, True, 500 * MS, False)
-    kinds = (api.Kind(cores, 0.0),)
-    return api.Started(7, 200, 5 * MS, (lookup, load), kinds, 1.0, 0, False, allowed, duties)
+    load = replace(lookup, is_load=True, waits_for_loads=False, threads=2)
+    duties = api.RuleLimits(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
+    allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False)
+    kinds = (api.EndpointKind(cores, 0.0),)
+    return api.GatewayStarted(7, 200, 5 * MS, (lookup, load), kinds, 1.0, 0, False, allowed, duties)
 
 
 async def run_process(servers: int, seconds: float, seed: int) -> ProcessCost:
--- a/lotusstream/cells/keeper.py
+++ b/lotusstream/cells/controller.py
@@ -12,10 +12,10 @@
 
 from lotusstream import interface as api
 from lotusstream.cells import move as moving
-from lotusstream.cells.move import CannotMove, Move, Step, Terms
+from lotusstream.cells.move import Move, MoveError, Step, Terms
 from lotusstream.cells.plan import Cell, Empty, Members, Plan, crossing, engines_for, members
-from lotusstream.cells.poison import PoisonJudge, PoisonTerms
-from lotusstream.interface import State
+from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonTerms
+from lotusstream.interface import EndpointStatus
 
 JUDGE_EVERY = 1_000_000  # microseconds
 FENCE = 0  # the number of no cell: nothing may serve it
@@ -89,7 +89,7 @@
     number: int
     cell: str
     tenant: str | None  # where it is a shard
-    engines: frozenset[api.EngineId] = frozenset()
+    engines: frozenset[api.EndpointId] = frozenset()
     users: int = 0
 
 
@@ -111,7 +111,7 @@
     """`unserved`: places of the profiles that no ready engine here may serve."""
 
     name: str
-    engines: tuple[api.EngineId, ...]
+    engines: tuple[api.EndpointId, ...]
     ready: int
     commands: int
     tenants: int
@@ -127,7 +127,7 @@
     version: int
     cells: tuple[CellView, ...]
     moves: tuple[Move, ...]
-    homeless: tuple[api.EngineId, ...]
+    homeless: tuple[api.EndpointId, ...]
     held: int
     poisoned: tuple[str, ...]
 
@@ -135,7 +135,7 @@
 Told = list[api.Event | Write | Refused]
 
 
-class CellKeeper:
+class CellController:
     """`arrived` gives a command its cell; `handle` takes all else that happens."""
 
     def __init__(
@@ -148,14 +148,14 @@
     ) -> None:
         """`moves`: as the log has them, from `recovered`. `poison`: when a tenant goes to quarantine, if
         ever."""
-        self._poison = PoisonJudge(poison) if poison else None
+        self._poison = PoisonRequestDetector(poison) if poison else None
         self._ward: dict[str, int] = {}  # tenants in quarantine for their blame, since when
         self._shut: dict[str, int] = {}  # refused until then, where no quarantine takes them
         self._judged_at = 0
         self._token, self._driving = 0, True
         self._marked: dict[str, int] = {}  # when a tenant last sent something that carries a mark
         self.plan, self._terms, self._profiles = plan, terms, profiles
-        self._listed: dict[api.EngineId, api.Engine] = {}
+        self._listed: dict[api.EndpointId, api.EndpointEntry] = {}
         self._members = Members({}, (), ())
         self._pools = {cell.name: at for at, cell in enumerate(plan.cells)}
         self._places: dict[tuple[str, str | None], Confinement] = {}
@@ -179,7 +179,7 @@
         """Why a move would not be begun, if it would not."""
         try:
             self._begun(now, tenant, target, "")
-        except CannotMove as error:
+        except MoveError as error:
             return str(error)
         return None
 
@@ -201,7 +201,7 @@
                 CellView(
                     cell.name,
                     tuple(engine.id for engine in inside),
-                    sum(engine.state is State.READY for engine in inside),
+                    sum(engine.status is EndpointStatus.READY for engine in inside),
                     len(here),
                     len({each.tenant for each in here}),
                     tuple(unserved),
@@ -225,7 +225,7 @@
         told: Told = []
         for place in self._places.values():
             place.users = 0
-            told.append(api.Confined(place.number, self._pools.get(place.cell, 0), place.engines))
+            told.append(api.CellEndpointsChanged(place.number, self._pools.get(place.cell, 0), place.engines))
         for move in self.moves.values():
             if move.step not in moving.NO_WAY_BACK:
                 self._writing[move.tenant] = replace(move, step=Step.UNDONE, why="the module began anew")
@@ -234,22 +234,22 @@
 
     # Commands
 
-    def arrived(self, now: int, event: api.Arrived) -> Told:
+    def arrived(self, now: int, event: api.RequestReceived) -> Told:
         """The command with its cell, held behind a fence, or refused at once."""
         tenant = event.tenant
-        command = OpenCommand(tenant, event.profile, now, self.plan.version, event.hint, None)
-        self._open[event.command] = command
+        command = OpenCommand(tenant, event.profile, now, self.plan.version, event.work_hint, None)
+        self._open[event.request_id] = command
         if tenant is not None:
-            self._by_tenant.setdefault(tenant, set()).add(event.command)
+            self._by_tenant.setdefault(tenant, set()).add(event.request_id)
         if tenant is not None and moving.holds(self.moves.get(tenant)):
             return [replace(event, cell=FENCE)]
         if tenant is not None and now < self._shut.get(tenant, now):
-            return [replace(event, cell=FENCE), api.Dropped(event.command)]
+            return [replace(event, cell=FENCE), api.RequestWithdrawn(event.request_id)]
         told, refused = self._place(command)
         number = command.place.number if command.place else FENCE
         told.append(replace(event, cell=number))
         if refused:
-            told.append(api.Dropped(event.command))
+            told.append(api.RequestWithdrawn(event.request_id))
         return told
 
     def _place(self, command: OpenCommand) -> tuple[Told, bool]:
@@ -273,7 +273,7 @@
     def _serving(self, cell: Cell, command: OpenCommand) -> bool:
         profile = self._profiles[command.profile]
         return any(
-            engine.state is State.READY and profile.open_to(engine)
+            engine.status is EndpointStatus.READY and profile.admits(engine)
             for engine in self._members.engines.get(cell.name, ())
         )
 
@@ -285,7 +285,7 @@
             self._numbers += 1
             place = self._places[key] = Confinement(self._numbers, cell.name, key[1])
             place.engines = self._engines(place)
-            told.append(api.Confined(place.number, self._pools[cell.name], place.engines))
+            told.append(api.CellEndpointsChanged(place.number, self._pools[cell.name], place.engines))
         place.users += 1
         command.place = place
         return told
@@ -299,9 +299,9 @@
         if place.users or place.tenant is None:
             return []
         del self._places[place.cell, place.tenant]
-        return [api.Confined(place.number, self._pools.get(place.cell, 0), frozenset())]
+        return [api.CellEndpointsChanged(place.number, self._pools.get(place.cell, 0), frozenset())]
 
-    def _engines(self, place: Confinement) -> frozenset[api.EngineId]:
+    def _engines(self, place: Confinement) -> frozenset[api.EndpointId]:
         cell = self.plan.cell(place.cell)
         if cell is None:
             return frozenset()
@@ -311,15 +311,15 @@
 
     def handle(self, now: int, event: api.Event | api.Action | CellEvent) -> Told:
         match event:
-            case api.EngineNews():
+            case api.EndpointListReceived():
                 return self._list(event)
-            case api.Send(command, engine):
+            case api.StartAttempt(command, engine):
                 self._sent(now, command, engine)
-            case api.Ended():
+            case api.AttemptEnded():
                 return self._ended(now, event)
-            case api.Shed(command) | api.Fail(command) | api.ClientGone(command):
+            case api.RejectRequest(command) | api.FailRequest(command) | api.ClientDisconnected(command):
                 return self._over(command)
-            case api.Settled():
+            case api.BatchEnded():
                 return self._tick(now)
             case MoveTenant(tenant, target, why):
                 return self._begin(now, tenant, target, why)
@@ -335,28 +335,31 @@
                 return self._drives(now, token)
         return []
 
-    def _sent(self, now: int, command: int, engine: api.EngineId) -> None:
+    def _sent(self, now: int, command: int, engine: api.EndpointId) -> None:
         if (found := self._open.get(command)) is not None:
             if self._poison is not None and found.tenant is not None:
                 self._poison.sent(now, found.tenant, engine)
-            if found.tenant is not None and self._profiles[found.profile].effect is api.Effect.UNIQUED:
+            if (
+                found.tenant is not None
+                and self._profiles[found.profile].idempotency is api.Idempotency.IDEMPOTENT_WITH_KEY
+            ):
                 self._marked[found.tenant] = now
             number = self._sends.get(command, 0)
             self._sends[command] = number + 1
             found.sent = True
             found.out.add(number)
 
-    def _ended(self, now: int, event: api.Ended) -> Told:
-        found = self._open.get(event.command)
+    def _ended(self, now: int, event: api.AttemptEnded) -> Told:
+        found = self._open.get(event.request_id)
         if found is None:
             return []
         if self._poison is not None and found.tenant is not None:
             self._poison.ended(now, found.tenant, event, found.hint)
-        found.out.discard(event.send)
+        found.out.discard(event.attempt)
         return (
-            self._over(event.command)
-            if event.over or event.outcome is api.Outcome.ANSWERED
-            else self._forget(event.command)
+            self._over(event.request_id)
+            if event.request_finished or event.outcome is api.Outcome.ANSWERED
+            else self._forget(event.request_id)
         )
 
     def _over(self, command: int) -> Told:
@@ -379,15 +382,17 @@
                 del self._by_tenant[found.tenant]
         return self._leave(found)
 
-    def _list(self, event: api.EngineNews) -> Told:
-        if event.kind is api.ListKind.FAILED:
+    def _list(self, event: api.EndpointListReceived) -> Told:
+        if event.kind is api.EndpointListKind.FAILED:
             return []
-        if event.kind is not api.ListKind.CHANGES:
+        if event.kind is not api.EndpointListKind.DELTA:
             self._listed.clear()
-        for engine in event.engines:
+        for engine in event.endpoints:
             self._listed[engine.id] = engine
         self._listed = {
-            name: engine for name, engine in self._listed.items() if engine.state is not State.GONE
+            name: engine
+            for name, engine in self._listed.items()
+            if engine.status is not EndpointStatus.REMOVED
         }
         return self._regroup()
 
@@ -398,7 +403,7 @@
             engines = self._engines(place)
             if engines != place.engines:
                 place.engines = engines
-                told.append(api.Confined(place.number, self._pools.get(place.cell, 0), engines))
+                told.append(api.CellEndpointsChanged(place.number, self._pools.get(place.cell, 0), engines))
         return told
 
     # Moves
@@ -419,7 +424,7 @@
                 return f"no ready engine of {kinds} for profile {at}"
         return None
 
-    def _judge(self, now: int, judge: PoisonJudge) -> Told:
+    def _judge(self, now: int, judge: PoisonRequestDetector) -> Told:
         """The poisonous go to quarantine, by a move as any other: its fence stops them at once. They come
         back once their time is over and their blame has faded."""
         told: Told = []
@@ -468,7 +473,7 @@
                 and not found.over
                 and moving.patience_is_over(now, found.taken, self._terms)
             ):
-                told.append(api.Dropped(command))
+                told.append(api.RequestWithdrawn(command))
         return told
 
     def _step(self, move: Move) -> Told:
@@ -482,7 +487,7 @@
     def _begin(self, now: int, tenant: str, target: str, why: str) -> Told:
         try:
             move = self._begun(now, tenant, target, why)
-        except CannotMove as error:
+        except MoveError as error:
             return [Refused(tenant, str(error))]
         self.moves[tenant] = self._writing[tenant] = move
         return [Write(move)]
@@ -501,10 +506,10 @@
 
     def _begun(self, now: int, tenant: str, target: str, why: str) -> Move:
         if not self._driving:
-            raise CannotMove("another gateway drives moves, or none can be told: 'ctl leases' says who")
+            raise MoveError("another gateway drives moves, or none can be told: 'ctl leases' says who")
         move = moving.begin(now, tenant, self.plan.home(tenant), target, self.moves, why)
         if (fails := self._target_fails(move)) is not None:
-            raise CannotMove(f"'{target}' can't take '{tenant}': {fails}")
+            raise MoveError(f"'{target}' can't take '{tenant}': {fails}")
         return move
 
     def _abort(self, now: int, tenant: str, why: str) -> Told:
@@ -515,7 +520,7 @@
             return [Refused(tenant, f"the move of '{tenant}' has just been switched: move it back instead")]
         try:
             return self._step(moving.abort(now, move, why))
-        except CannotMove as error:
+        except MoveError as error:
             return [Refused(tenant, str(error))]
 
     def _written(self, now: int, move: Move) -> Told:
@@ -551,7 +556,7 @@
         for command in sorted(self._by_tenant.get(tenant, ())):
             found = self._open[command]
             if not found.sent and not found.over:
-                told += [api.Rehomed(command, FENCE), *self._leave(found)]
+                told += [api.RequestMigrated(command, FENCE), *self._leave(found)]
         return told
 
     def _let_go(self, now: int, tenant: str) -> Told:
@@ -561,9 +566,9 @@
             if found.place is None and not found.over:
                 placing, refused = self._place(found)
                 number = found.place.number if found.place else FENCE
-                told += [*placing, api.Rehomed(command, number)]
+                told += [*placing, api.RequestMigrated(command, number)]
                 if refused or moving.patience_is_over(now, found.taken, self._terms):
-                    told.append(api.Dropped(command))
+                    told.append(api.RequestWithdrawn(command))
         return told
 
     def _replan(self, now: int, plan: Plan) -> Told:
@@ -598,23 +603,23 @@
 Module = Callable[[int, api.Event], list[api.Action]]
 
 
-class InCells:
+class CellAdmission:
     """A decision module with a keeper of cells in front. `write` writes a step down and tells how that
     went, now or later, by `handle`; `refused` hears of wishes that are not carried out."""
 
     def __init__(
         self,
         module: Module,
-        keeper: CellKeeper,
+        keeper: CellController,
         write: Callable[[Move], None],
         refused: Callable[[str], None],
     ) -> None:
         self._module, self.keeper, self._write, self._refused = module, keeper, write, refused
 
     def handle(self, now: int, event: api.Event | CellEvent) -> list[api.Action]:
-        if isinstance(event, api.Arrived):
+        if isinstance(event, api.RequestReceived):
             return self._carry_out(now, self.keeper.arrived(now, event))
-        if isinstance(event, api.Started):
+        if isinstance(event, api.GatewayStarted):
             return [*self._module(now, event), *self._carry_out(now, self.keeper.begun_anew())]
         if isinstance(event, CellEvent):
             return self._carry_out(now, self.keeper.handle(now, event))
--- a/lotusstream/cells/blame.py
+++ b/lotusstream/cells/fault_attribution.py
@@ -30,7 +30,7 @@
     most: float
 
 
-class Blame:
+class FaultAttribution:
     """Halves in each `half_life`, microseconds. Memory is bounded by `most` tenants.
 
     Fading is by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): what is new is counted for
--- a/lotusstream/cells/move.py
+++ b/lotusstream/cells/move.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from lotusstream.interface import Effect, Profile
+from lotusstream.interface import Idempotency, Profile
 
 
 class Step(Enum):
@@ -63,25 +63,29 @@
 def terms(profiles: Iterable[Profile], hold: int, drain: int) -> Terms:
     """A client repeats a mark while engines drop its repeats. What is let go in the new cell was held no
     longer than `hold`; so it came when no repeat of anything that ran in the old one could come any more."""
-    remembered = [profile.remembered_for for profile in profiles if profile.effect is Effect.UNIQUED]
+    remembered = [
+        profile.deduplication_window
+        for profile in profiles
+        if profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    ]
     return Terms(hold, drain, max(remembered, default=0) + hold)
 
 
-class CannotMove(Exception):
+class MoveError(Exception):
     """Why a move is not begun."""
 
 
 def begin(now: int, tenant: str, source: str, target: str, open_moves: Mapping[str, Move], why: str) -> Move:
     if source == target:
-        raise CannotMove(f"'{tenant}' is in '{target}' already")
+        raise MoveError(f"'{tenant}' is in '{target}' already")
     if (other := open_moves.get(tenant)) is not None and other.step not in OVER:
-        raise CannotMove(f"'{tenant}' is being moved to '{other.target}': abort that first")
+        raise MoveError(f"'{tenant}' is being moved to '{other.target}': abort that first")
     return Move(tenant, source, target, Step.PREPARED, now, why=why)
 
 
 def abort(now: int, move: Move, why: str) -> Move:
     if move.step in NO_WAY_BACK:
-        raise CannotMove(f"the move of '{move.tenant}' is {move.step.value}: move it back instead")
+        raise MoveError(f"the move of '{move.tenant}' is {move.step.value}: move it back instead")
     return replace(move, step=Step.UNDONE, since=now, why=why)
 
 
--- a/lotusstream/cells/plan.py
+++ b/lotusstream/cells/plan.py
@@ -10,9 +10,16 @@
 
 from immutables import Map
 
-from lotusstream.cells.draw import by_kind, drawn, lot, shard
+from lotusstream.cells.assignment import by_kind, drawn, lot, shard
 from lotusstream.cells.trie import NameTrie
-from lotusstream.interface import Effect, Engine, EngineId, Profile, Scope, State
+from lotusstream.interface import (
+    DeduplicationScope,
+    EndpointEntry,
+    EndpointId,
+    EndpointStatus,
+    Idempotency,
+    Profile,
+)
 
 
 class Source(Enum):
@@ -39,10 +46,10 @@
     zones: frozenset[int] | None = None
     kinds: frozenset[int] | None = None
     told_cells: frozenset[int] | None = None
-    ids: frozenset[EngineId] | None = None
+    ids: frozenset[EndpointId] | None = None
     part: tuple[float, float] | None = None
 
-    def takes(self, engine: Engine) -> bool:
+    def takes(self, engine: EndpointEntry) -> bool:
         return (
             (self.zones is None or engine.zone in self.zones)
             and (self.kinds is None or engine.kind in self.kinds)
@@ -73,7 +80,7 @@
     lender: str | None = None
     quarantine: bool = False
 
-    def takes(self, engine: Engine) -> bool:
+    def takes(self, engine: EndpointEntry) -> bool:
         return any(choice.takes(engine) for choice in self.engines)
 
 
@@ -130,17 +137,17 @@
 class Members:
     """The engines of each cell, as the list stands."""
 
-    engines: Mapping[str, tuple[Engine, ...]]
-    homeless: tuple[Engine, ...]
-    doubled: tuple[tuple[Engine, str, str], ...]
+    engines: Mapping[str, tuple[EndpointEntry, ...]]
+    homeless: tuple[EndpointEntry, ...]
+    doubled: tuple[tuple[EndpointEntry, str, str], ...]
 
 
-def members(plan: Plan, listed: Iterable[Engine]) -> Members:
+def members(plan: Plan, listed: Iterable[EndpointEntry]) -> Members:
     """Gone engines belong nowhere; an engine that two cells take belongs to the first, and is told."""
-    found: dict[str, list[Engine]] = {cell.name: [] for cell in plan.cells}
+    found: dict[str, list[EndpointEntry]] = {cell.name: [] for cell in plan.cells}
     homeless, doubled = [], []
     for engine in sorted(listed, key=lambda each: each.id):
-        if engine.state is State.GONE:
+        if engine.status is EndpointStatus.REMOVED:
             continue
         takers = [cell.name for cell in plan.cells if cell.takes(engine)]
         if not takers:
@@ -151,7 +158,9 @@
     return Members({name: tuple(each) for name, each in found.items()}, tuple(homeless), tuple(doubled))
 
 
-def engines_for(plan: Plan, cell: Cell, tenant: str | None, inside: Iterable[Engine]) -> frozenset[EngineId]:
+def engines_for(
+    plan: Plan, cell: Cell, tenant: str | None, inside: Iterable[EndpointEntry]
+) -> frozenset[EndpointId]:
     """A tenant's engines in its cell: all, or its shard of them."""
     listed = [(engine.id, engine.kind) for engine in inside]
     if not cell.shard or tenant is None:
@@ -160,7 +169,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unfit:
+class CellPlanError:
     """What a plan can't do with the engines that there are. `profile` where one can't be served. `grave`:
     the plan is turned down for it, not only told of."""
 
@@ -171,49 +180,56 @@
     profile: str | None = None
 
 
-def unfit(plan: Plan, listed: Iterable[Engine], profiles: Mapping[str, Profile]) -> Iterator[Unfit]:
+def unfit(
+    plan: Plan, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
+) -> Iterator[CellPlanError]:
     """Held against the engines as listed: at the check of a plan and whenever the list has changed."""
     standing = members(plan, listed)
     for engine in standing.homeless:
         name = engine.id.decode("latin-1")
-        yield Unfit("", f"engine {name} is in no cell", "let a last cell take the rest: engines all")
+        yield CellPlanError("", f"engine {name} is in no cell", "let a last cell take the rest: engines all")
     for engine, one, other in standing.doubled:
         name = engine.id.decode("latin-1")
-        yield Unfit(other, f"engine {name} belongs to '{one}', which comes first", "this may be meant", False)
+        yield CellPlanError(
+            other, f"engine {name} belongs to '{one}', which comes first", "this may be meant", False
+        )
     for cell in plan.cells:
         inside = standing.engines[cell.name]
         if not inside:
-            yield Unfit(cell.name, "no engine belongs to it", "widen its engines")
+            yield CellPlanError(cell.name, "no engine belongs to it", "widen its engines")
             continue
         for name, profile in profiles.items():
             yield from _unserved(plan, cell, inside, name, profile)
 
 
 def _unserved(
-    plan: Plan, cell: Cell, inside: tuple[Engine, ...], name: str, profile: Profile
-) -> Iterator[Unfit]:
-    if any(profile.open_to(engine) for engine in inside):
+    plan: Plan, cell: Cell, inside: tuple[EndpointEntry, ...], name: str, profile: Profile
+) -> Iterator[CellPlanError]:
+    if any(profile.admits(engine) for engine in inside):
         return
     lender = plan.cell(cell.lender) if cell.empty is Empty.BORROW and cell.lender else None
     if lender is not None:
         what = f"no engine here may serve {name}: it is borrowed from '{lender.name}'"
-        yield Unfit(cell.name, what, "add one of its kind", grave=False, profile=name)
+        yield CellPlanError(cell.name, what, "add one of its kind", grave=False, profile=name)
         return
     hint = "add an engine that it is bound to, or 'empty borrow CELL'"
-    yield Unfit(cell.name, f"no engine here may serve {name}", hint, profile=name)
+    yield CellPlanError(cell.name, f"no engine here may serve {name}", hint, profile=name)
 
 
 def crossing(
-    plan: Plan, one: Cell, other: Cell, listed: Iterable[Engine], profiles: Mapping[str, Profile]
+    plan: Plan, one: Cell, other: Cell, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
 ) -> list[str]:
     """Uniqued profiles whose repeats, sent to the other cell, would meet engines that don't drop them."""
     standing = members(plan, listed)
     here, there = (standing.engines[cell.name] for cell in (one, other))
     found = []
     for name, profile in profiles.items():
-        if profile.effect is not Effect.UNIQUED or profile.scope is Scope.ALL:
+        if (
+            profile.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
+            or profile.deduplication_scope is DeduplicationScope.ALL
+        ):
             continue
-        zones = profile.scope is Scope.ZONE
+        zones = profile.deduplication_scope is DeduplicationScope.ZONE
         scopes = [{each.zone if zones else each.cell for each in inside} for inside in (here, there)]
         if scopes[0] != scopes[1]:
             found.append(name)
--- a/lotusstream/cells/poison.py
+++ b/lotusstream/cells/poison_requests.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from lotusstream import interface as api
-from lotusstream.cells.blame import Blame
+from lotusstream.cells.fault_attribution import FaultAttribution
 
 LOST, ERROR, RUNAWAY = 3.0, 1.0, 1.0  # weights
 TIMES = 8.0  # the hint, from which on work has run away
@@ -48,35 +48,35 @@
         return f"poison: blame {self.blame:.1f}, {harmed}"
 
 
-class PoisonJudge:
+class PoisonRequestDetector:
     """Told of every send and its outcome; judges when asked."""
 
     def __init__(self, terms: PoisonTerms) -> None:
         self.terms = terms
-        self._blame = Blame(terms.most, terms.half_life)
-        self._sends = Blame(terms.most, terms.half_life)
-        self._harmed = Blame(terms.most, terms.half_life)
-        self._all = Blame(2, terms.half_life)  # "sends" and "harmed" of everyone
-        self._out: dict[api.EngineId, dict[str, int]] = {}  # sends out by tenant
-        self._lost: dict[api.EngineId, dict[str, float]] = {}  # shares of a loss that is being told
-
-    def sent(self, now: int, tenant: str, engine: api.EngineId) -> None:
+        self._blame = FaultAttribution(terms.most, terms.half_life)
+        self._sends = FaultAttribution(terms.most, terms.half_life)
+        self._harmed = FaultAttribution(terms.most, terms.half_life)
+        self._all = FaultAttribution(2, terms.half_life)  # "sends" and "harmed" of everyone
+        self._out: dict[api.EndpointId, dict[str, int]] = {}  # sends out by tenant
+        self._lost: dict[api.EndpointId, dict[str, float]] = {}  # shares of a loss that is being told
+
+    def sent(self, now: int, tenant: str, engine: api.EndpointId) -> None:
         out = self._out.setdefault(engine, {})
         out[tenant] = out.get(tenant, 0) + 1
         self._lost.pop(engine, None)  # it takes sends again: the next loss is another one
         self._sends.add(now, tenant, 1.0)
         self._all.add(now, "sends", 1.0)
 
-    def ended(self, now: int, tenant: str, event: api.Ended, hint: int | None) -> None:
-        out = self._out.get(event.engine, {})
-        shares = self._shares(event.engine, out) if self._is_loss(event) else None
+    def ended(self, now: int, tenant: str, event: api.AttemptEnded, hint: int | None) -> None:
+        out = self._out.get(event.endpoint_id, {})
+        shares = self._shares(event.endpoint_id, out) if self._is_loss(event) else None
         out[tenant] = out.get(tenant, 1) - 1
         if out[tenant] <= 0:
             out.pop(tenant, None)
         if not out:
-            self._out.pop(event.engine, None)
+            self._out.pop(event.endpoint_id, None)
             if shares is None:
-                self._lost.pop(event.engine, None)
+                self._lost.pop(event.endpoint_id, None)
         if shares is not None:
             self._harm(now, tenant, LOST * shares.pop(tenant, 0.0))
         elif event.outcome is api.Outcome.ERROR:
@@ -85,10 +85,10 @@
             self._harm(now, tenant, RUNAWAY)
 
     @staticmethod
-    def _is_loss(event: api.Ended) -> bool:
-        return event.outcome is api.Outcome.RESET and not event.heard
+    def _is_loss(event: api.AttemptEnded) -> bool:
+        return event.outcome is api.Outcome.RESET and not event.endpoint_responded
 
-    def _shares(self, engine: api.EngineId, out: dict[str, int]) -> dict[str, float]:
+    def _shares(self, engine: api.EndpointId, out: dict[str, int]) -> dict[str, float]:
         """One loss is one blame, split among the tenants that had sends out when it was first told."""
         if engine not in self._lost:
             total = sum(out.values()) or 1
--- a/lotusstream/cells/who.py
+++ b/lotusstream/cells/tenant_lookup.py
@@ -8,7 +8,7 @@
 from lotusstream.cells.trie import LONGEST_NAME
 
 
-def tenant_of(
+def lookup_tenant(
     sources: Iterable[TenantSource],
     fields: Mapping[str, str],
     key: str | None,
--- a/lotusstream/cli/__init__.py
+++ b/lotusstream/cli/__init__.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from lotusstream import __version__
-from lotusstream.net.configuration import Configuration, UnusableConfiguration, read_configuration
+from lotusstream.net.configuration import Configuration, ConfigurationError, read_configuration
 from lotusstream.net.connection import US
 from lotusstream.net.gateway import GatewayServer
 from lotusstream.protocol import front, http
@@ -33,23 +33,23 @@
 def load(path: str | None) -> Configuration:
     path = path or os.environ.get("ROUTER_CONFIG")
     if not path:
-        raise UnusableConfiguration("configuration: name a file, or set ROUTER_CONFIG")
+        raise ConfigurationError("configuration: name a file, or set ROUTER_CONFIG")
     try:
         return read_configuration(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        raise UnusableConfiguration(f"configuration: {error}") from error
+        raise ConfigurationError(f"configuration: {error}") from error
 
 
 def load_operator(path: str | None, configuration: Configuration | None) -> OperatorFile | None:
     """None where no operator file is named. Raises UnusableConfiguration, one line for each problem."""
     if not path:
         return None
-    from lotusstream.operator.problems import UnusableOperatorFile
+    from lotusstream.operator.problems import OperatorFileError
 
     try:
         return _read_operator(path, configuration)
-    except UnusableOperatorFile as error:
-        raise UnusableConfiguration(str(error)) from error
+    except OperatorFileError as error:
+        raise ConfigurationError(str(error)) from error
 
 
 def _read_operator(path: str, configuration: Configuration | None) -> OperatorFile:
@@ -57,13 +57,13 @@
 
     if configuration is None:
         return load_operator_file(path)
-    from lotusstream.operator.cells import Surroundings
+    from lotusstream.operator.cells import DeploymentContext
 
     deployment = configuration.deployment
     profiles = dict(zip(deployment.profiles, deployment.started.profiles, strict=True))
     listed = {each.engine.id: each.engine for notice in configuration.known.notices for each in notice.listed}
     engines, name = tuple(listed.values()), configuration.name
-    around = Surroundings(profiles, deployment.zones, deployment.kinds, engines, name)
+    around = DeploymentContext(profiles, deployment.zones, deployment.kinds, engines, name)
     return load_operator_file(path, around)
 
 
@@ -83,7 +83,7 @@
         before = self._written()
         try:
             self._take(load(self._path))
-        except UnusableConfiguration as error:  # what was in force stays
+        except ConfigurationError as error:  # what was in force stays
             self._refused(str(error))
             loop = asyncio.get_running_loop()
             self._look_again(loop, before, loop.time() + http.TOLD_AFTER / US)
@@ -157,8 +157,10 @@
     print(f"gateway {configuration.name}, listens on {':'.join(map(str, configuration.listen))}")
     print(f"board at {':'.join(map(str, configuration.board))}, {len(engines)} engines known")
     for name, profile in zip(deployment.profiles, deployment.started.profiles, strict=True):
-        times = f"target {profile.target / 1e6:g} s, client timeout {profile.client_timeout / 1e6:g} s"
-        print(f"profile {name}: {profile.effect.value}, {times}")
+        times = (
+            f"target {profile.latency_objective / 1e6:g} s, client timeout {profile.client_timeout / 1e6:g} s"
+        )
+        print(f"profile {name}: {profile.idempotency.value}, {times}")
     return 0
 
 
@@ -197,7 +199,7 @@
             sock.sendall(front.encode_probe(1))
             (length,) = front.FRAME.unpack(answers.read(front.FRAME.size))
             good = front.decode_probe_answer(answers.read(length))
-    except (OSError, struct.error, front.BrokenFrame) as error:
+    except (OSError, struct.error, front.FrameError) as error:
         print(f"no answer: {error}")
         return 1
     print("good" if good else "not taking commands")
@@ -248,7 +250,7 @@
     arguments = parser().parse_args(words)
     try:
         status: int = arguments.act(arguments)
-    except UnusableConfiguration as error:
+    except ConfigurationError as error:
         print("\n".join(f"lotusstream: {line}" for line in str(error).split("\n")), file=sys.stderr)
         return 2
     return status
--- a/lotusstream/cli/ctl.py
+++ b/lotusstream/cli/ctl.py
@@ -18,7 +18,7 @@
 from click.shell_completion import CompletionItem
 
 from lotusstream.cli import render
-from lotusstream.operator.units import NoSuchUnit, parse_time
+from lotusstream.operator.units import UnknownUnitError, parse_time
 from lotusstream.protocol import control as wire
 
 REFUSED, USAGE, UNREACHED, UNUSABLE = 1, 2, 3, 4
@@ -47,7 +47,7 @@
             return value
         try:
             return parse_time(value)
-        except NoSuchUnit as error:
+        except UnknownUnitError as error:
             self.fail(str(error), param, ctx)
 
 
@@ -61,7 +61,7 @@
     def ask(self, request: wire.Asking) -> Any:
         try:
             reply = wire.decode_reply(self._call(wire.encode_request(request)))
-        except wire.BrokenRequest as error:
+        except wire.ControlRequestError as error:
             raise Unusable(str(error)) from error
         if reply.refused is not None:
             raise NotDone(reply.refused.why)
@@ -113,11 +113,11 @@
     if not operator:
         return None
     from lotusstream.operator.file import load_operator_file
-    from lotusstream.operator.problems import UnusableOperatorFile
+    from lotusstream.operator.problems import OperatorFileError
 
     try:
         file = load_operator_file(operator)
-    except UnusableOperatorFile as error:
+    except OperatorFileError as error:
         raise click.UsageError(str(error)) from error
     if file.control is None:
         raise click.UsageError(f"{operator} has no control socket: add 'control PATH'")
--- a/lotusstream/copies/replica.py
+++ b/lotusstream/copies/replica.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 
 from lotusstream.copies import messages as ms
-from lotusstream.copies.manager import CopyTerms
+from lotusstream.copies.anti_entropy import APART, RANGES, Comparing, odd_ones, sum_of
 from lotusstream.copies.messages import Assigned, Held, Holding, Op
-from lotusstream.copies.scrub import APART, RANGES, Comparing, odd_ones, sum_of
+from lotusstream.copies.shard_controller import CopyTerms
 from lotusstream.copies.shards import Place, shard_of
 
 LATER = 10_000  # changes that are kept while a copy is being filled
@@ -227,7 +227,7 @@
     return shards
 
 
-class Replicas:
+class ReplicaSet:
     """`place`: of this disk; `session`: of this run of the program."""
 
     def __init__(
--- a/lotusstream/copies/manager.py
+++ b/lotusstream/copies/shard_controller.py
@@ -124,7 +124,7 @@
     left: bool
 
 
-class Manager:
+class ShardController:
     """`assigned`: as the quorum has it when this manager begins. Whoever may hold a lease from the manager
     before is waited for."""
 
--- a/lotusstream/examine/examiner.py
+++ b/lotusstream/healthcheck/checker.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from lotusstream.examine.news import LONGEST, ExamineTerms, News, Row
-from lotusstream.interface import EngineId
-from lotusstream.lots import drawn
+from lotusstream.healthcheck.reports import LONGEST, HealthCheckOptions, HealthReports, Row
+from lotusstream.interface import EndpointId
+from lotusstream.rendezvous import unit_hash
 
 MISSES = 2  # looks in a row without an answer: one may be lost on the way
 
@@ -17,14 +17,14 @@
 class Listed:
     """The engines that are to be examined, from now on."""
 
-    engines: tuple[EngineId, ...]
+    engines: tuple[EndpointId, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
     """A look has ended. `sure`: the machine itself says that nobody listens there."""
 
-    engine: EngineId
+    engine: EndpointId
     answers: bool
     sure: bool = False
 
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    engine: EngineId
+    engine: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    news: News
+    news: HealthReports
 
 
 Action = Look | Tell
@@ -61,12 +61,12 @@
     since: int = 0
 
 
-class Examiner:
+class HealthChecker:
     """One under each token. What an earlier one found is not taken over: every engine is looked at anew."""
 
-    def __init__(self, token: int, terms: ExamineTerms, now: int) -> None:
+    def __init__(self, token: int, terms: HealthCheckOptions, now: int) -> None:
         self._token, self._terms, self._now = token, terms, now
-        self._engines: dict[EngineId, _Engine] = {}
+        self._engines: dict[EndpointId, _Engine] = {}
         self._number, self._told = 0, now
         self._changed = False
 
@@ -80,7 +80,7 @@
         actions: list[Action] = [Look(engine) for engine in self._due()]
         if self._changed or now - self._told >= self._terms.every:  # the rest hear that somebody is there
             self._changed, self._told, self._number = False, now, self._number + 1
-            actions.append(Tell(News(self._token, self._number, self._rows())))
+            actions.append(Tell(HealthReports(self._token, self._number, self._rows())))
         return actions
 
     @property
@@ -89,11 +89,11 @@
         waiting = [each.due for each in self._engines.values() if each.out is None]
         return min([self._told + self._terms.every, *waiting])
 
-    def _list(self, engines: tuple[EngineId, ...]) -> None:
+    def _list(self, engines: tuple[EndpointId, ...]) -> None:
         known, every = self._engines, self._terms.every
         # spread: a fleet's engines are not all looked at in one moment
         self._engines = {
-            engine: known.get(engine) or _Engine(self._now + int(drawn(engine, self._token) * every))
+            engine: known.get(engine) or _Engine(self._now + int(unit_hash(engine, self._token) * every))
             for engine in engines
         }
 
@@ -109,7 +109,7 @@
         if engine.answers is not answers:
             engine.answers, engine.since, self._changed = answers, self._now, True
 
-    def _due(self) -> list[EngineId]:
+    def _due(self) -> list[EndpointId]:
         """The longest due first, as many as may be out at a time."""
         lost = self._now - self._terms.old  # its look was never ended
         for each in self._engines.values():
--- a/lotusstream/examine/hearsay.py
+++ b/lotusstream/healthcheck/peer_reports.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from lotusstream import interface as api
-from lotusstream.examine.news import ExamineTerms, News
-from lotusstream.interface import EngineId
+from lotusstream.healthcheck.reports import HealthCheckOptions, HealthReports
+from lotusstream.interface import EndpointId
 
 # Events
 
@@ -17,7 +17,7 @@
 class Heard:
     """`late`: microseconds for which whoever passed it on had kept it."""
 
-    news: News
+    news: HealthReports
     late: int = 0
 
 
@@ -36,7 +36,7 @@
     keeper: str
 
 
-Action = Subscribe | api.Hearsay
+Action = Subscribe | api.PeerHealthReported
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,16 +45,16 @@
 
     token: int
     age: int
-    silent: tuple[EngineId, ...]
+    silent: tuple[EndpointId, ...]
 
 
-class Hearsay:
-    def __init__(self, name: str, keepers: Sequence[str], terms: ExamineTerms, now: int) -> None:
+class PeerReports:
+    def __init__(self, name: str, keepers: Sequence[str], terms: HealthCheckOptions, now: int) -> None:
         self._keepers, self._terms, self._now = tuple(keepers), terms, now
         self._turn = zlib.crc32(name.encode())  # so that not all hear from the same one
         self._heard, self._asked = now, now - terms.renewed
         self._newest = (0, 0)
-        self._silent: dict[EngineId, int] = {}  # engines said not to answer, and when that was last said
+        self._silent: dict[EndpointId, int] = {}  # engines said not to answer, and when that was last said
 
     def handle(self, now: int, event: Event) -> list[Action]:
         self._now = now = max(now, self._now)
@@ -82,8 +82,8 @@
         for row in news.rows:
             if not row.answers:
                 self._silent[row.engine] = self._now
-                told.append(api.Hearsay(row.engine, False))
+                told.append(api.PeerHealthReported(row.engine, False))
             elif self._silent.pop(row.engine, None) is not None:
                 # only one that was said not to answer: one that answers and does no work is no news
-                told.append(api.Hearsay(row.engine, True))
+                told.append(api.PeerHealthReported(row.engine, True))
         return told
--- a/lotusstream/examine/news.py
+++ b/lotusstream/healthcheck/reports.py
@@ -14,7 +14,7 @@
     answers: bool
 
 
-class News(msgspec.Struct, frozen=True, array_like=True):
+class HealthReports(msgspec.Struct, frozen=True, array_like=True):
     """Engines that do not answer, and those that do again, or were looked at for the first time, a short time
     ago. `token`: of the lease; `number`: one more each time under it."""
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ExamineTerms:
+class HealthCheckOptions:
     """`every`: microseconds between two looks at one engine that answers. `most`: looks at one time."""
 
     every: int
--- a/lotusstream/interface.py
+++ b/lotusstream/interface.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
-EngineId = bytes
+EndpointId = bytes
 
 
-class Effect(Enum):
-    REPLAYABLE = "replayable"
-    UNIQUED = "uniqued"
-    NON_REPLAYABLE = "non-replayable"
+class Idempotency(Enum):
+    IDEMPOTENT = "replayable"
+    IDEMPOTENT_WITH_KEY = "uniqued"
+    NOT_IDEMPOTENT = "non-replayable"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """The engines that drop a uniqued command's repeats."""
 
     ALL = "all"
@@ -25,10 +25,10 @@
     CELL = "cell"
 
 
-class State(Enum):
+class EndpointStatus(Enum):
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class Outcome(IntEnum):
@@ -42,12 +42,12 @@
     RESET = 598
 
 
-PROVES_NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-ITS_OWN_WORD = (Outcome.ANSWERED, Outcome.FULL, Outcome.ERROR)  # the engine said it itself
-MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
+PROVES_NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+REPORTED_BY_ENDPOINT = (Outcome.ANSWERED, Outcome.FULL, Outcome.ERROR)  # the engine said it itself
+MAY_STILL_BE_RUNNING = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
 
-class Reason(Enum):
+class RejectionReason(Enum):
     """Why a request gets no result."""
 
     TOO_LATE = "too little time was left when it came"
@@ -59,14 +59,14 @@
     UNKNOWN = "not told"
 
 
-class ListKind(Enum):
-    CHANGES = "changes"
-    FULL = "full"
-    CACHED = "cached"
+class EndpointListKind(Enum):
+    DELTA = "changes"
+    SNAPSHOT = "full"
+    CACHED_SNAPSHOT = "cached"
     FAILED = "failed"
 
 
-class Note(Enum):
+class ProgressKind(Enum):
     PROGRESS = "progress"
     SPILLS = "spills"
     WAITS_FOR_MEMORY = "waits for memory"
@@ -75,341 +75,341 @@
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    target: int
-    stretch: float
+    latency_objective: int
+    objective_stretch: float
     client_timeout: int
-    benefit: float
-    late_benefit: float
-    effect: Effect
-    scope: Scope
-    remembered_for: int
-    in_order: bool
+    priority_weight: float
+    late_priority_weight: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window: int
+    ordered_by_key: bool
     zones: frozenset[int] | None
     kinds: frozenset[int] | None
-    loads: bool
-    waits: bool
+    is_load: bool
+    waits_for_loads: bool
     threads: int
 
     @property
-    def bound(self) -> bool:
+    def is_restricted(self) -> bool:
         return self.zones is not None or self.kinds is not None
 
-    def open_to(self, engine: Engine) -> bool:
+    def admits(self, engine: EndpointEntry) -> bool:
         return (self.zones is None or engine.zone in self.zones) and (
             self.kinds is None or engine.kind in self.kinds
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class Capabilities:
     """What the deployment lets a gateway do."""
 
-    sends: int
-    copies: bool
-    cancelling: bool
-    probes: bool
-    grants: bool
+    max_attempts: int
+    hedging: bool
+    cancellation: bool
+    health_checks: bool
+    memory_grants: bool
     priorities: bool
-    longest_advice: int
-    must_subscribe: bool
+    max_retry_after: int
+    requires_subscription: bool
     connect_timeout: int = 0  # that much later than it was decided a send may begin
 
 
 @dataclass(frozen=True, slots=True)
-class Duties:
+class RuleLimits:
     """The figures of the rules."""
 
     answer_slack: int
-    cold_from: float
-    warm_up: int
-    fall_multiple: float
-    overload_for: int
-    key_rest: int
-    extra_min: float
-    extra_ratio: float
-    extra_span: int
-    ask_within: int
+    slow_start_initial_ratio: float
+    slow_start_duration: int
+    overload_multiple: float
+    overload_window: int
+    key_quarantine: int
+    retry_budget_min: float
+    retry_budget_ratio: float
+    retry_budget_window: int
+    poll_interval: int
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class EndpointKind:
     cores: float
     memory_mb: float
 
 
 @dataclass(frozen=True, slots=True)
-class Engine:
+class EndpointEntry:
     """One line of the engine list."""
 
-    id: EngineId
-    state: State
+    id: EndpointId
+    status: EndpointStatus
     zone: int
     cell: int
     kind: int
-    started: int
+    started_at: int
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """An engine's word on its load; None where the deployment does not tell."""
 
-    in_hand: float | None = None
-    waiting: float | None = None
-    busy: float | None = None
+    in_flight: float | None = None
+    queued: float | None = None
+    utilization: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class GatewayStarted:
     seed: int
-    gateways: int
-    period: int
+    gateway_count: int
+    batch_interval: int
     profiles: tuple[Profile, ...]
-    kinds: tuple[Kind, ...]
-    most_grant: float
-    note_every: int
-    tells_in_hand: bool
-    allowed: Allowed
-    duties: Duties
+    kinds: tuple[EndpointKind, ...]
+    max_grant_ratio: float
+    progress_interval: int
+    reports_in_flight: bool
+    capabilities: Capabilities
+    rule_limits: RuleLimits
 
 
 @dataclass(frozen=True, slots=True)
-class EngineNews:
-    kind: ListKind
-    engines: tuple[Engine, ...]
+class EndpointListReceived:
+    kind: EndpointListKind
+    endpoints: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    command: int
+class RequestReceived:
+    request_id: int
     profile: int
-    hint: int | None
+    work_hint: int | None
     memory_mb: float | None
     client_timeout: int
     group: int
     key: int | None
     cell: int | None = None  # may go nowhere else; None: anywhere
     tenant: str | None = None  # for those in front of the module
-    waited: int = 0  # for this decision, since it may have been sent
+    queue_delay: int = 0  # for this decision, since it may have been sent
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """A send has its outcome. `over`: the command needs no further answer. `heard`: the last thing known of
     the engine here is an answer, of whatever kind; so a reset was one of a connection."""
 
-    command: int
-    send: int
-    engine: EngineId
+    request_id: int
+    attempt: int
+    endpoint_id: EndpointId
     outcome: Outcome
     latency: int
-    over: bool
+    request_finished: bool
     work: int | None
     memory_mb: float | None
-    report: Report | None
-    heard: bool
+    report: LoadReport | None
+    endpoint_responded: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
-    command: int
-    send: int
-    engine: EngineId
-    note: Note
+class AttemptProgressed:
+    request_id: int
+    attempt: int
+    endpoint_id: EndpointId
+    kind: ProgressKind
     amount: float
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
-    command: int
+class ClientDisconnected:
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
+class ShutdownStarted:
     """A planned stop: all is to be answered by then."""
 
-    by: int
+    deadline: int
 
 
-class Further(Enum):
+class RetriesAllowed(Enum):
     """The sends after a command's first that are still made."""
 
     ALL = "all"
-    UNRUN = "unrun"  # only where no earlier send may have run
+    IF_NOT_EXECUTED = "unrun"  # only where no earlier send may have run
     NONE = "none"
 
 
 @dataclass(frozen=True, slots=True)
-class Reduced:
+class DegradationChanged:
     """Reduced service, until the next of these. By place of the profile: the admitted part of its new
     commands (0 to 1), and the priority of its sends where that is set."""
 
-    admitted: tuple[float, ...]
-    further: Further
-    longest_advice: int | None  # None: as allowed
+    admitted_ratios: tuple[float, ...]
+    retries_allowed: RetriesAllowed
+    max_retry_after: int | None  # None: as allowed
     priorities: tuple[int | None, ...]
 
     @property
-    def full(self) -> bool:
+    def is_full_service(self) -> bool:
         """Nothing is reduced."""
         return (
-            min(self.admitted, default=1.0) >= 1
-            and self.further is Further.ALL
-            and self.longest_advice is None
+            min(self.admitted_ratios, default=1.0) >= 1
+            and self.retries_allowed is RetriesAllowed.ALL
+            and self.max_retry_after is None
             and not any(priority is not None for priority in self.priorities)
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Confined:
+class CellEndpointsChanged:
     """From now on commands of this cell may go to these engines only, at every send. `pool`: the cells of
     one pool are judged together (pressure, pace, bounds), those of others apart. An engine belongs to one
     pool, the last that it was told to be in."""
 
     cell: int
     pool: int
-    engines: frozenset[EngineId]
+    endpoint_ids: frozenset[EndpointId]
 
 
 @dataclass(frozen=True, slots=True)
-class Rehomed:
+class RequestMigrated:
     """The command belongs to another cell from now on."""
 
-    command: int
+    request_id: int
     cell: int
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class RequestWithdrawn:
     """The command is to be given up now."""
 
-    command: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class RanElsewhere:
+class ExecutedElsewhere:
     """Another gateway may have run the command, there and since then: as an earlier send of this one. `zone`
     and `cell` are -1 where it does not matter or isn't known here."""
 
-    command: int
+    request_id: int
     zone: int
     cell: int
     at: int
 
 
 @dataclass(frozen=True, slots=True)
-class Hearsay:
+class PeerHealthReported:
     """Another gateway, which examines engines for all, says that this one does not answer, or does again."""
 
-    engine: EngineId
-    answers: bool
+    endpoint_id: EndpointId
+    is_healthy: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SnapshotRequested:
     """What does the module believe? Changes nothing; answered by Believed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    engine: EngineId
+class HealthCheckEnded:
+    endpoint_id: EndpointId
     outcome: Outcome
     latency: int
-    report: Report | None
+    report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class BatchEnded:
     """All that is known at this time has been told."""
 
 
 Event = (
-    Started
-    | EngineNews
-    | Arrived
-    | Ended
-    | Noted
-    | ClientGone
-    | Woken
-    | Probed
-    | Stopping
-    | Reduced
-    | Confined
-    | Rehomed
-    | Dropped
-    | RanElsewhere
-    | Hearsay
-    | Asked
-    | Settled
+    GatewayStarted
+    | EndpointListReceived
+    | RequestReceived
+    | AttemptEnded
+    | AttemptProgressed
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckEnded
+    | ShutdownStarted
+    | DegradationChanged
+    | CellEndpointsChanged
+    | RequestMigrated
+    | RequestWithdrawn
+    | ExecutedElsewhere
+    | PeerHealthReported
+    | SnapshotRequested
+    | BatchEnded
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    command: int
-    engine: EngineId
-    time_out: int
+class StartAttempt:
+    request_id: int
+    endpoint_id: EndpointId
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
-class Resources:
-    command: int
+class SetResources:
+    request_id: int
     grant_mb: float
     priority: int
 
 
 @dataclass(frozen=True, slots=True)
-class Shed:
-    command: int
-    come_back_after: int
-    reduced: bool = False  # since the level in force does not admit it
-    reason: Reason = field(default=Reason.UNKNOWN, compare=False)
+class RejectRequest:
+    request_id: int
+    retry_after: int
+    degraded: bool = False  # since the level in force does not admit it
+    reason: RejectionReason = field(default=RejectionReason.UNKNOWN, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
-    command: int
-    reason: Reason = field(default=Reason.UNKNOWN, compare=False)
+class FailRequest:
+    request_id: int
+    reason: RejectionReason = field(default=RejectionReason.UNKNOWN, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    command: int
-    send: int
+class CancelAttempt:
+    request_id: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    engine: EngineId
+class StartHealthCheck:
+    endpoint_id: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     at: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
-    on: bool
+class SetListSubscription:
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
+class EndpointSnapshot:
     """One engine on the list, as the module sees it. `latency_ratio`: recent latency over what the work would
     take alone. `concurrency_limit`: threads that this gateway may have there while it is overloaded."""
 
-    engine: EngineId
-    state: State
+    endpoint_id: EndpointId
+    status: EndpointStatus
     zone: int
     kind: int
     cores: float
     threads: int
-    sends: int
+    in_flight: int
     loads: int
     latency_ratio: float
     overloaded: bool
@@ -421,15 +421,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Believed:
+class GatewaySnapshot:
     """The answer to Asked. `share`: this gateway's part of the traffic, 0 to 1."""
 
-    engines: tuple[Belief, ...]
+    endpoints: tuple[EndpointSnapshot, ...]
     share: float
     baseline_ratio: float
     overloaded: bool
-    open: int
-    held: int
-
-
-Action = Believed | Send | Resources | Shed | Fail | Cancel | Probe | Wake | Subscribe
+    open_requests: int
+    queued_requests: int
+
+
+Action = (
+    GatewaySnapshot
+    | StartAttempt
+    | SetResources
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | StartHealthCheck
+    | SetTimer
+    | SetListSubscription
+)
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from lotusstream.copies import claims as cl
-from lotusstream.copies import manager as mg
+from lotusstream.copies import idempotency as cl
 from lotusstream.copies import messages as ms
 from lotusstream.copies import replica as rp
-from lotusstream.copies.manager import CopyTerms, Manager
+from lotusstream.copies import shard_controller as mg
+from lotusstream.copies.anti_entropy import RANGES
 from lotusstream.copies.messages import Assigned
-from lotusstream.copies.replica import Replicas, read_back
-from lotusstream.copies.scrub import RANGES
+from lotusstream.copies.replica import ReplicaSet, read_back
+from lotusstream.copies.shard_controller import CopyTerms, ShardController
 from lotusstream.copies.shards import Holder, Place
 from lotusstream.lab.world import MS, Node, S, Span, World
 from lotusstream.leases.granter import LeaseTerms
@@ -76,7 +76,7 @@
         super().__init__(name, world.draw, world.scene.terms.leases.drift)
         self.disk, self.disk_name = Disk(), ""
         self.lied_until = 0  # until others have filled it anew
-        self.replicas: Replicas
+        self.replicas: ReplicaSet
         self.holder: Holder
         self.claims: cl.Claims
         self.flows: dict[int, Flow] = {}
@@ -145,7 +145,7 @@
         self.gateways = {f"g{at}": GatewayNode(f"g{at}", self) for at in range(scene.gateways)}
         self.clients = {f"c{at}": ClientNode(f"c{at}", self) for at in range(scene.clients)}
         self.chief = Node("manager", self.draw, scene.terms.leases.drift)
-        self.manager: Manager
+        self.manager: ShardController
         for gateway in self.gateways.values():
             self.again(gateway)
         self.again(self.chief)
@@ -176,7 +176,7 @@
             node.holder = Holder(place, node.name, f"z{at % self.scene.zones}")
             shards, now = read_back(node.disk.synced), node.clock(self.now)
             session = f"{node.disk_name}.{node.run}"
-            node.replicas = Replicas(place, session, self.scene.terms, shards, now)
+            node.replicas = ReplicaSet(place, session, self.scene.terms, shards, now)
             node.flows = {}
             terms = cl.ClaimTerms(self.scene.terms.shards, self.scene.terms.copies, 300 * MS, 40 * MS)
             holders = [
@@ -187,7 +187,7 @@
             self._beat(node)
             self._tick(node)
         elif node is self.chief:
-            self.manager = Manager(self.scene.terms, self.agreed.values(), node.clock(self.now))
+            self.manager = ShardController(self.scene.terms, self.agreed.values(), node.clock(self.now))
             self._manage()
         elif isinstance(node, ClientNode):
             self._next(node)
@@ -254,7 +254,7 @@
                     node = self.gateways[place.name]
                     self._deliver(self.chief, node, self._leasing(node, session, sent, epochs))
 
-    def _agreeing(self, manager: Manager, assigned: Assigned) -> Callable[[], None]:
+    def _agreeing(self, manager: ShardController, assigned: Assigned) -> Callable[[], None]:
         """The quorum: one after the other, whoever was proposed first."""
 
         def agree() -> None:
@@ -270,7 +270,7 @@
 
         return agree
 
-    def _finding(self, manager: Manager) -> Callable[[], None]:
+    def _finding(self, manager: ShardController) -> Callable[[], None]:
         def find() -> None:
             if manager is self.manager and self.chief.up and not self.chief.stopped:
                 self._decide(mg.Found(tuple(self.agreed.values())))
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -18,10 +18,10 @@
 from lotusstream.lab.world import Broken
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.journal import OnDisk
-from lotusstream.quorum.keeper import LEADER, Keeper, Pace
+from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
+from lotusstream.quorum.replicated_log import OnDisk
 
-PACE = Pace(100, 1000)
+PACE = RaftTiming(100, 1000)
 NAMES = ("a", "b", "c")
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class World:
-    keepers: list[Keeper]
+    keepers: list[RaftNode]
     disks: list[list[ms.Record]]
     nows: list[int]
     flying: list[bytes]
@@ -64,8 +64,8 @@
     return World(keepers, disks, [0, 0, 0], [], scope, {}, {})
 
 
-def _begun(name: str, disk: list[ms.Record]) -> Keeper:
-    keeper = Keeper(name, OnDisk(disk), "", NAMES, PACE, 1, 0)
+def _begun(name: str, disk: list[ms.Record]) -> RaftNode:
+    keeper = RaftNode(name, OnDisk(disk), "", NAMES, PACE, 1, 0)
     keeper._proven = True  # that its disk is no older copy is not what is looked at here
     return keeper
 
--- a/lotusstream/lab/fleet/customers.py
+++ b/lotusstream/lab/fleet/clients.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from lotusstream.lab.fleet.rig import FleetRig
-from lotusstream.lab.parties import Failed
+from lotusstream.lab.stand_ins import Failed
 
 GIVES = 3.0  # seconds, for one try
 PAUSE = 0.05
--- a/lotusstream/lab/fleet/keeping.py
+++ b/lotusstream/lab/fleet/idempotency_client.py
@@ -10,7 +10,7 @@
 from lotusstream.copies.messages import Held, Holding
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.peers import Answer, PeerLink, PeerManners
+from lotusstream.net.peers import Answer, PeerLimits, PeerLink
 from lotusstream.protocol import peers as wire
 
 US = 1_000_000
@@ -28,7 +28,7 @@
         self.home = ""  # who kept the last one
 
     async def __aenter__(self) -> Keeping:
-        manners = PeerManners(self._rig.group, "client", US, 4)
+        manners = PeerLimits(self._rig.group, "client", US, 4)
         for name in self._rig.holders:
             address = ("127.0.0.1", self._rig.ports[name])
             self._links[name] = PeerLink(name, address, manners, 60 * US, self._told, self._supervisor)
--- a/lotusstream/lab/fleet/askers.py
+++ b/lotusstream/lab/fleet/lock_clients.py
@@ -6,11 +6,11 @@
 import uuid
 
 from lotusstream.leases import holder as hold
-from lotusstream.leases.desk import FREED
 from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.service import FREED
 from lotusstream.net import clock
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.peers import Answer, PeerLink, PeerManners
+from lotusstream.net.peers import Answer, PeerLimits, PeerLink
 from lotusstream.protocol import peers as wire
 
 US = 1_000_000
@@ -29,7 +29,7 @@
         """`keepers`: their ports here, by name."""
         self.name, self.task = name, task
         self.holder = hold.Holder(name, uuid.uuid4().hex, sorted(keepers), terms, 1)
-        manners = PeerManners(group, name, US, 4)
+        manners = PeerLimits(group, name, US, 4)
         self._links = {
             keeper: PeerLink(keeper, ("127.0.0.1", port), manners, 3 * terms.length, self._told, supervisor)
             for keeper, port in keepers.items()
--- a/lotusstream/lab/fleet/process.py
+++ b/lotusstream/lab/fleet/process.py
@@ -23,9 +23,9 @@
 
 import msgspec
 
-from lotusstream.net import clock, keeper, tasks
+from lotusstream.net import clock, raft_node, tasks
 from lotusstream.operator import fleet as directives
-from lotusstream.record.log import Disk
+from lotusstream.wal.log import Disk
 
 CLOCK = struct.Struct("!dq")
 WITNESS = "witness"
@@ -104,7 +104,7 @@
 class WitnessTask:
     """Acts again and again while it may, and tells a witness over UDP."""
 
-    def __init__(self, around: tasks.Around, between: Path) -> None:
+    def __init__(self, around: tasks.TaskContext, between: Path) -> None:
         self._around, self._between = around, between
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         host, _, port = os.environ["LOTUSSTREAM_WITNESS"].rpartition(":")
@@ -142,7 +142,7 @@
     tasks.MAKERS[WITNESS] = lambda around: WitnessTask(around, folder / "between")
     bent = LabClock(folder / "clock")
     clock.boot_clock = bent
-    keeper.make_disk = lambda: LabDisk(folder / "disk")
+    raft_node.make_disk = lambda: LabDisk(folder / "disk")
     sys.argv = ["lotusstream", *sys.argv[2:]]
     runpy.run_module("lotusstream", run_name="__main__")
 
--- a/lotusstream/lab/fleet/rig.py
+++ b/lotusstream/lab/fleet/rig.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
+from lotusstream.lab.fleet.history_checker import Witness
 from lotusstream.lab.fleet.process import CLOCK, OK, WITNESS
 from lotusstream.lab.fleet.relay import Manner, Relay
-from lotusstream.lab.fleet.witness import Witness
-from lotusstream.lab.parties import CountingEngine, Effects, StandInBoard, StandInClient
+from lotusstream.lab.stand_ins import CountingEngine, Effects, StandInBoard, StandInClient
 from lotusstream.protocol import control as wire
 
 READY_WITHIN = 20.0  # seconds
--- a/lotusstream/lab/fleet/run.py
+++ b/lotusstream/lab/fleet/run.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lotusstream.lab.fleet.customers import Customers, Told
+from lotusstream.lab.fleet.clients import Customers, Told
+from lotusstream.lab.fleet.history_checker import Verdict, judge
 from lotusstream.lab.fleet.process import FAILING, FULL, OK, WITNESS
 from lotusstream.lab.fleet.relay import Manner
 from lotusstream.lab.fleet.rig import FleetRig, Gateway, Lost
 from lotusstream.lab.fleet.schedule import Fault, Schedule, smaller
-from lotusstream.lab.fleet.witness import Verdict, judge
 from lotusstream.operator.units import write_time
 from lotusstream.protocol.control import Copies
 
--- a/lotusstream/lab/fleet/schedule.py
+++ b/lotusstream/lab/fleet/schedule.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from lotusstream.operator.problems import nearest
-from lotusstream.operator.units import NoSuchUnit, parse_time, write_time
+from lotusstream.operator.units import UnknownUnitError, parse_time, write_time
 
 SECOND = 1_000_000
 KINDS = {
@@ -77,7 +77,7 @@
 def _time(told: Any, where: str) -> int:
     try:
         return parse_time(str(told))
-    except NoSuchUnit as error:
+    except UnknownUnitError as error:
         raise UnusableSchedule(f"{where}: {error}") from error
 
 
--- a/lotusstream/lab/scale/load.py
+++ b/lotusstream/lab/scale/load.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass
 
-from lotusstream.lab.parties import Failed, StandInClient
+from lotusstream.lab.stand_ins import Failed, StandInClient
 
 ANSWER_SLACK = 0.5  # seconds after a request's time in which an answer still counts as one
 MOST_OPEN = 24  # of a connection's 32
--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from lotusstream import interface as api
-from lotusstream.net import client, decider, endpoints
+from lotusstream.net import client, decider, endpoint_registry
 from lotusstream.net import gateway as server
 from lotusstream.policy import gateway
 from lotusstream.protocol import http
@@ -54,7 +54,7 @@
     receive = client.ClientConnection.receive
     count = 0
 
-    async def drop(self: client.ClientConnection, message: client.Reply) -> None:
+    async def drop(self: client.ClientConnection, message: client.ClientReply) -> None:
         nonlocal count
         count += 1
         if count % DROPPED_EVERY:
@@ -66,10 +66,10 @@
 def ignored_departure() -> None:
     """An attempt begins though its client has left, and what runs is not given up."""
 
-    def waits(self: client.TakenCommand) -> bool:
+    def waits(self: client.ReceivedRequest) -> bool:
         return True
 
-    client.TakenCommand.owed = waits  # type: ignore[method-assign]
+    client.ReceivedRequest.owed = waits  # type: ignore[method-assign]
     client.ClientConnection._leave = lambda self, command: None  # type: ignore[method-assign]
 
 
@@ -87,22 +87,22 @@
     """A request that must not be repeated is sent again as any other."""
 
     def may_send_again(self: gateway.Gateway, request: Any) -> bool:
-        return len(request.attempts) < self.allowed.sends and self.now < request.deadline
+        return len(request.attempts) < self.allowed.max_attempts and self.now < request.deadline
 
     gateway.Gateway._may_send_again = may_send_again  # type: ignore[method-assign]
 
 
 def whole_list_without_drains() -> None:
     """What a whole list withdraws is passed over."""
-    differing = endpoints.Endpoints.differing
+    differing = endpoint_registry.EndpointRegistry.differing
 
-    def only_ready(self: endpoints.Endpoints, notice: Any) -> list[Any]:
+    def only_ready(self: endpoint_registry.EndpointRegistry, notice: Any) -> list[Any]:
         found = differing(self, notice)
         if not notice.whole:
             return found
-        return [each for each in found if each.engine.state is api.State.READY]
+        return [each for each in found if each.engine.status is api.EndpointStatus.READY]
 
-    endpoints.Endpoints.differing = only_ready  # type: ignore[method-assign]
+    endpoint_registry.EndpointRegistry.differing = only_ready  # type: ignore[method-assign]
 
 
 def early_exit() -> None:
--- a/lotusstream/lab/scale/rig.py
+++ b/lotusstream/lab/scale/rig.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from typing import Any
 
-from lotusstream.lab.parties import StandInBoard
 from lotusstream.lab.scale.checker import History
 from lotusstream.lab.scale.load import Load
 from lotusstream.lab.scale.process import PROGRAM, GatewayProcess, Usage
 from lotusstream.lab.scale.servers import Server, ServerFleet
+from lotusstream.lab.stand_ins import StandInBoard
 
 MS, S = 1_000, 1_000_000
 DRAIN_GRACE = 2.0  # seconds
--- a/lotusstream/lab/soak/customers.py
+++ b/lotusstream/lab/soak/clients.py
@@ -9,9 +9,9 @@
 import time
 from collections.abc import Sequence
 
-from lotusstream.lab.parties import Failed, StandInClient
 from lotusstream.lab.scale.load import ANSWER_SLACK, Outcome
 from lotusstream.lab.soak.plan import RequestClass
+from lotusstream.lab.stand_ins import Failed, StandInClient
 
 CONNECTIONS = 6
 CROSSED = 0.05  # seconds before the end of a connection in which a request may have crossed it
--- a/lotusstream/lab/soak/run.py
+++ b/lotusstream/lab/soak/run.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lotusstream.lab.parties import StandInBoard
 from lotusstream.lab.scale.checker import Broken
 from lotusstream.lab.scale.process import PROGRAM, GatewayProcess
 from lotusstream.lab.scale.servers import Server, ServerFleet
-from lotusstream.lab.soak.customers import Customers
+from lotusstream.lab.soak.clients import Customers
 from lotusstream.lab.soak.judge import ColdStart, SoakHistory, judge
 from lotusstream.lab.soak.plan import Fault, FaultKind, SoakPlan
+from lotusstream.lab.stand_ins import StandInBoard
 
 MS, S = 1_000, 1_000_000
 DRAIN_GRACE, WARM_UP, OVERLOAD_FOR = 2.0, 10.0, 1.0
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -13,15 +13,15 @@
 
 from lotusstream.lab.world import MS, Broken, Node, S, Span, World
 from lotusstream.leases import holder as hold
-from lotusstream.leases.desk import FREED, Asked, LeaseDesk, LookedUp, Passed, Reply
 from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.service import FREED, Asked, LeaseService, LookedUp, Passed, Reply
 from lotusstream.leases.table import Granted
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.journal import OnDisk
-from lotusstream.quorum.keeper import LEADER, Keeper, Pace
 from lotusstream.quorum.messages import Record
+from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
+from lotusstream.quorum.replicated_log import OnDisk
 
-PACE = Pace(100 * MS, 400 * MS, batch=300, kept=25)
+PACE = RaftTiming(100 * MS, 400 * MS, batch=300, kept=25)
 TERMS = LeaseTerms(2 * S, 250 * MS, 0.05)
 
 
@@ -32,7 +32,7 @@
     keepers: int = 3
     holders: int = 3
     tasks: tuple[str, ...] = ("moves",)
-    pace: Pace = PACE
+    pace: RaftTiming = PACE
     terms: LeaseTerms = TERMS
     faults: tuple[str, ...] = (
         "crash", "cut", "one-way", "stop", "wipe", "rollback", "disk", "leave", "unwant"
@@ -72,7 +72,7 @@
     def __init__(self, name: str, draw: random.Random, drift: float) -> None:
         super().__init__(name, draw, drift)
         self.disk = VirtualDisk()
-        self.desk: LeaseDesk | None = None
+        self.desk: LeaseService | None = None
         self.applied: dict[int, Any] = {}
         self.wiped = False
         self.slow_disk = 0
@@ -165,11 +165,11 @@
         node.waiting.clear()
         self._fresh += 1
         disk = OnDisk(node.disk.synced)
-        keeper = Keeper(
+        keeper = RaftNode(
             node.name, disk, f"d{self._fresh}", list(self.keepers), self.scene.pace,
             self.seed * 1000 + node.run, node.clock(self.now),
         )  # fmt: skip
-        node.desk = LeaseDesk(keeper, self.scene.terms)
+        node.desk = LeaseService(keeper, self.scene.terms)
         self._tell_keeper(node, ev.Tick())
 
     def _tell_keeper(self, node: KeeperNode, event: Any) -> None:
--- a/lotusstream/leases/desk.py
+++ b/lotusstream/leases/service.py
@@ -8,8 +8,8 @@
 from lotusstream.leases.granter import Granter, LeaseTerms
 from lotusstream.leases.table import Acquire, AnyWish, Granted, LeaseTable, encode_wish
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.keeper import LEADER, Keeper
 from lotusstream.quorum.messages import Kind
+from lotusstream.quorum.node import LEADER, RaftNode
 
 LATE = -1  # the ticket of what nobody waits for
 WAITERS = 1024  # who is told that a task is free, at most; whoever is not asks again by itself
@@ -66,8 +66,8 @@
 Outward = ev.Save | ev.Say | ev.Became | ev.NewMembers | Reply | Passed
 
 
-class LeaseDesk:
-    def __init__(self, keeper: Keeper, terms: LeaseTerms) -> None:
+class LeaseService:
+    def __init__(self, keeper: RaftNode, terms: LeaseTerms) -> None:
         self.keeper, self.table = keeper, LeaseTable()
         self._granter = Granter(terms)
         self._tickets: dict[int, tuple[object, int]] = {}
--- a/lotusstream/levels/keeper.py
+++ b/lotusstream/levels/controller.py
@@ -9,9 +9,9 @@
 
 from lotusstream import interface as api
 from lotusstream.levels.condition import Condition, Values, comparisons, fired, truth
-from lotusstream.levels.gauge import Gauge, Health
 from lotusstream.levels.history import Cause, Change, History, Reading
 from lotusstream.levels.ladder import FULL_SERVICE, Ladder, Level
+from lotusstream.levels.signal_evaluator import Health, SignalEvaluator
 from lotusstream.levels.signals import SIGNALS, Key, Value, spelled, written
 
 TICKS = 40  # in a window
@@ -75,13 +75,13 @@
     changes: int
 
 
-class LevelKeeper:
+class LevelController:
     """`handle` takes what happened, in order, with the time, and returns what to tell the module."""
 
-    def __init__(self, ladder: Ladder, started: api.Started, names: tuple[str, ...]) -> None:
+    def __init__(self, ladder: Ladder, started: api.GatewayStarted, names: tuple[str, ...]) -> None:
         self._ladder, self._given, self._names = ladder, started, names
         self.every = max(1, ladder.window // TICKS)
-        self._gauge = Gauge(started, names, ladder.window, self.every)
+        self._gauge = SignalEvaluator(started, names, ladder.window, self.every)
         self._seed, self._draws = zlib.crc32(started.seed.to_bytes(8, "little")), 0
         self.history = History()
         self._rung, self._since, self._changed_at = 0, 0, -ladder.quiet
@@ -91,7 +91,7 @@
         self._values: Values = {}
         self._cores: float | None = None  # standing at the last change
         self._admitted = [1.0] * len(names)
-        self._told: api.Reduced | None = None
+        self._told: api.DegradationChanged | None = None
         self._last: int | None = None
         self._stopping = False
         self._jitter, self._pace = 1.0, 1.0
@@ -102,11 +102,11 @@
     def handle(self, now: int, event: api.Event | api.Action | KeeperEvent) -> list[api.Event]:
         """Facts are counted; a tick is due after Settled, at most every fortieth of the window."""
         match event:
-            case api.Settled():
+            case api.BatchEnded():
                 return self._tick(now) if self._last is None or now - self._last >= self.every else []
-            case api.Stopping():
+            case api.ShutdownStarted():
                 self._stopping = True
-            case api.Started():
+            case api.GatewayStarted():
                 self._gauge.begun_anew()
             case Hold():
                 return self._take_hold(now, event)
@@ -119,13 +119,13 @@
                 self._gauge.saw(now, event)
         return []
 
-    def in_force(self) -> api.Reduced | None:
+    def in_force(self) -> api.DegradationChanged | None:
         """What was last told to the module; None for full service. To be told again to a new module."""
-        return self._told if self._told is not None and not self._told.full else None
+        return self._told if self._told is not None and not self._told.is_full_service else None
 
-    def full_service(self) -> api.Reduced:
+    def full_service(self) -> api.DegradationChanged:
         many = len(self._names)
-        return api.Reduced((1.0,) * many, api.Further.ALL, None, (None,) * many)
+        return api.DegradationChanged((1.0,) * many, api.RetriesAllowed.ALL, None, (None,) * many)
 
     # Time
 
@@ -134,7 +134,7 @@
         first, self._last = self._last is None, now
         watched = self._gauge.tick(now)
         self._values = self._gauge.values(now)
-        told: list[api.Event] = [api.Asked()]
+        told: list[api.Event] = [api.SnapshotRequested()]
         if first:
             self._draw()
             told += self._begin(now)
@@ -304,7 +304,7 @@
 
     def _tell(self) -> list[api.Event]:
         level, places = self._level(), range(len(self._names))
-        before = self._told.admitted if self._told else (1.0,) * len(self._names)
+        before = self._told.admitted_ratios if self._told else (1.0,) * len(self._names)
         floors = self._floors()
         admitted = tuple(
             self._admitted[at]
@@ -312,13 +312,13 @@
             else before[at]
             for at in places
         )
-        told = api.Reduced(
+        told = api.DegradationChanged(
             admitted,
-            level.further if level else api.Further.ALL,
+            level.further if level else api.RetriesAllowed.ALL,
             level.advice if level else None,
             tuple(level.priorities.get(name) if level else None for name in self._names),
         )
-        if told == self._told or (self._told is None and told.full):
+        if told == self._told or (self._told is None and told.is_full_service):
             return []
         self._told = told
         return [told]
@@ -354,7 +354,7 @@
             ends_when=self._ends_when(),
             next_change=ready_at,
             admitted=dict(zip(self._names, self._admitted, strict=True)),
-            further=(level.further if level else api.Further.ALL).value,
+            further=(level.further if level else api.RetriesAllowed.ALL).value,
             stopping=self._stopping,
             signals=signals,
             rungs=rungs,
@@ -365,12 +365,12 @@
 Module = Callable[[int, api.Event], list[api.Action]]
 
 
-class Beside:
+class LevelAdmission:
     """A decision module with a keeper beside it: the keeper sees what the module is told and does, and
     what it decides reaches the module as an event. A keeper that fails is left out: full service, and
     `failed` tells."""
 
-    def __init__(self, module: Module, keeper: LevelKeeper) -> None:
+    def __init__(self, module: Module, keeper: LevelController) -> None:
         self._module, self.keeper = module, keeper
         self._without = False
 
@@ -378,7 +378,7 @@
         if isinstance(event, KeeperEvent):
             return self._tell(now, self._ask(now, event))
         actions = self._module(now, event)
-        if isinstance(event, api.Started):  # a module that began anew knows of no level
+        if isinstance(event, api.GatewayStarted):  # a module that began anew knows of no level
             self._ask(now, event)
             if (reduced := self.keeper.in_force()) is not None:
                 actions = actions + self._module(now, reduced)
@@ -403,5 +403,5 @@
             actions = list(self._module(now, event))
             for action in actions:
                 self._ask(now, action)
-            done += [action for action in actions if not isinstance(action, api.Believed)]
+            done += [action for action in actions if not isinstance(action, api.GatewaySnapshot)]
         return done
--- a/lotusstream/levels/ladder.py
+++ b/lotusstream/levels/ladder.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
-from lotusstream.interface import Further, Profile
+from lotusstream.interface import Profile, RetriesAllowed
 from lotusstream.levels.condition import (
     Condition,
     Expression,
@@ -32,7 +32,7 @@
     leave: Condition
     stay: int
     admit: Mapping[str, float] = field(default_factory=dict)
-    further: Further = Further.ALL
+    further: RetriesAllowed = RetriesAllowed.ALL
     advice: int | None = None
     priorities: Mapping[str, int] = field(default_factory=dict)
     formerly: str | None = None
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsound:
+class LadderError:
     """What is wrong, at which directive of which level, and what would do."""
 
     level: str | None
@@ -95,13 +95,13 @@
     hint: str
 
 
-def unsound(ladder: Ladder) -> Iterator[Unsound]:
+def unsound(ladder: Ladder) -> Iterator[LadderError]:
     """What can be told without the gateway's profiles."""
     for at, level in enumerate(ladder.levels):
         enter, leave = level.enter.what, level.leave.what
         reachable = overlap(enter, enter) is not None
         if not reachable:
-            yield Unsound(
+            yield LadderError(
                 level.name,
                 "enter",
                 "can't be reached: no state of the signals fulfils it",
@@ -109,7 +109,7 @@
             )
         elif (both := overlap(enter, leave, LEAST_GAP)) is not None:
             state = " and ".join(str(each) for each in dict.fromkeys(both))
-            yield Unsound(
+            yield LadderError(
                 level.name,
                 "leave",
                 f"overlaps entering: the level would swing at {state}",
@@ -117,11 +117,11 @@
                 " load > 115%, leave load < 95%",
             )
         if overlap(leave, leave) is None:
-            yield Unsound(
+            yield LadderError(
                 level.name, "leave", "can't be fulfilled: the level would never end", "widen the limits"
             )
         elif not ends_in_silence(leave):
-            yield Unsound(
+            yield LadderError(
                 level.name,
                 "leave",
                 "can't be fulfilled while nothing is asked: held, late and shed are unknown then",
@@ -129,7 +129,7 @@
             )
         for higher in ladder.levels[at + 1 :]:
             if reachable and higher.enter.dwell <= level.enter.dwell and implies(enter, higher.enter.what):
-                yield Unsound(
+                yield LadderError(
                     level.name,
                     "enter",
                     f"can't be reached: '{higher.name}' is entered wherever it is",
@@ -138,7 +138,7 @@
     for milder, level in itertools.pairwise(ladder.levels):
         for profile, part in milder.admit.items():
             if level.admit.get(profile, 1.0) > part:
-                yield Unsound(
+                yield LadderError(
                     level.name,
                     "admit",
                     f"admits more of {profile} than '{milder.name}' below it",
@@ -146,12 +146,12 @@
                 )
     if ladder.start is not None and ladder.rung(ladder.start.level) is None:
         names = ", ".join([FULL_SERVICE, *(level.name for level in ladder.levels)])
-        yield Unsound(None, "start", f"no level is called '{ladder.start.level}'", f"one of {names}")
+        yield LadderError(None, "start", f"no level is called '{ladder.start.level}'", f"one of {names}")
     for each in (together for together in [tuple(comparisons(ladder.ramp_while))] if not possible(together)):
-        yield Unsound(None, "ramp", f"never: {' and '.join(map(str, each))}", "widen the limits")
+        yield LadderError(None, "ramp", f"never: {' and '.join(map(str, each))}", "widen the limits")
 
 
-def unsound_for(ladder: Ladder, profiles: Mapping[str, Profile]) -> Iterator[Unsound]:
+def unsound_for(ladder: Ladder, profiles: Mapping[str, Profile]) -> Iterator[LadderError]:
     """What can be told once the gateway's profiles are known."""
     known = ", ".join(profiles)
     missing = False
@@ -159,10 +159,13 @@
         if profile not in profiles:
             missing = True
             name = level.name if level else None
-            yield Unsound(name, directive, f"no profile is called '{profile}'", f"one of {known}")
+            yield LadderError(name, directive, f"no profile is called '{profile}'", f"one of {known}")
     if missing:
         return
-    worth = {name: profile.benefit / (profile.target * profile.threads) for name, profile in profiles.items()}
+    worth = {
+        name: profile.priority_weight / (profile.latency_objective * profile.threads)
+        for name, profile in profiles.items()
+    }
     for level in ladder.levels:
         if level.despite_benefit:
             continue
@@ -172,7 +175,7 @@
                 name for name in profiles if admitted[name] > admitted[dear] and worth[name] < worth[dear]
             ]
             if cheap:
-                yield Unsound(
+                yield LadderError(
                     level.name,
                     "admit",
                     f"reduces {dear} before {cheap[0]}, which brings less benefit for its work",
--- a/lotusstream/levels/gauge.py
+++ b/lotusstream/levels/signal_evaluator.py
@@ -7,7 +7,7 @@
 
 from lotusstream import interface as api
 from lotusstream.levels.signals import Key, Value
-from lotusstream.ring import Ring
+from lotusstream.sliding_window import SlidingWindow
 
 BUCKETS = 16
 SATURATED = 1.5  # threads a core, from which on an engine does all that it can
@@ -42,29 +42,29 @@
     held: bool = True
 
 
-class Gauge:
+class SignalEvaluator:
     """`saw` takes facts as they come, `tick` lets time pass, `values` tells the signals."""
 
-    def __init__(self, started: api.Started, names: tuple[str, ...], window: int, every: int) -> None:
+    def __init__(self, started: api.GatewayStarted, names: tuple[str, ...], window: int, every: int) -> None:
         self._given, self._names, self._window, self._longest = started, names, window, NO_BREAK * every
         many = range(len(names))
 
-        def rings(windows: int = 1) -> list[Ring]:
-            return [Ring(windows * window, BUCKETS) for _ in many]
+        def rings(windows: int = 1) -> list[SlidingWindow]:
+            return [SlidingWindow(windows * window, BUCKETS) for _ in many]
 
         self._asked, self._cut, self._held, self._late, self._shed = (rings() for _ in range(5))
         self._works = rings(WORK_MEMORY)
-        self._watched = Ring(window, BUCKETS)
-        self._rate = Ring(
+        self._watched = SlidingWindow(window, BUCKETS)
+        self._rate = SlidingWindow(
             RATE_MEMORY * window, BUCKETS
         )  # amount: work done; count: core time of saturated engines
         self._most = [[-1, 0.0] for _ in range(BUCKETS)]  # most cores listed, by bucket
         self._open: dict[int, Asking] = {}
-        self._out: dict[tuple[int, int], tuple[api.EngineId, float]] = {}
-        self._done: dict[api.EngineId, float] = {}  # since the last tick
+        self._out: dict[tuple[int, int], tuple[api.EndpointId, float]] = {}
+        self._done: dict[api.EndpointId, float] = {}  # since the last tick
         self._sends: dict[int, int] = {}
-        self._broke: set[api.EngineId] = set()  # last seen to refuse or reset, not to be slow
-        self._believed: tuple[int, api.Believed] | None = None
+        self._broke: set[api.EndpointId] = set()  # last seen to refuse or reset, not to be slow
+        self._believed: tuple[int, api.GatewaySnapshot] | None = None
         self._health: tuple[int, Health] | None = None
         self._last: int | None = None
 
@@ -72,20 +72,20 @@
 
     def saw(self, now: int, fact: object) -> None:
         match fact:
-            case api.Arrived():
+            case api.RequestReceived():
                 self._arrived(now, fact)
-            case api.Send(command, engine):
+            case api.StartAttempt(command, engine):
                 self._sent(now, command, engine)
-            case api.Ended():
+            case api.AttemptEnded():
                 self._ended(now, fact)
-            case api.Shed(command, _, reduced):
+            case api.RejectRequest(command, _, reduced):
                 self._given_up(now, command, by_level=reduced, shed=True)
-            case api.Fail(command):
+            case api.FailRequest(command):
                 self._given_up(now, command, by_level=False, shed=False)
-            case api.ClientGone(command):
+            case api.ClientDisconnected(command):
                 if (asking := self._forget(command)) is not None and now >= asking.due:
                     self._late[asking.profile].add(now, 1.0)
-            case api.Believed():
+            case api.GatewaySnapshot():
                 self._believed = (now, fact)
                 self._list(now, fact)
             case Health():
@@ -96,19 +96,21 @@
         for kept in (self._open, self._out, self._sends, self._done):
             kept.clear()
 
-    def _arrived(self, now: int, fact: api.Arrived) -> None:
+    def _arrived(self, now: int, fact: api.RequestReceived) -> None:
         profile, usual = self._given.profiles[fact.profile], self._usual(now, fact.profile)
-        work = float(fact.hint or usual)  # a hint that is wrong is so in what is asked and what is done alike
-        stretch = profile.stretch * work / profile.threads
-        due = int(now + min(profile.target + stretch, fact.client_timeout))
-        self._open[fact.command] = Asking(fact.profile, now, due, work)
+        work = float(
+            fact.work_hint or usual
+        )  # a hint that is wrong is so in what is asked and what is done alike
+        stretch = profile.objective_stretch * work / profile.threads
+        due = int(now + min(profile.latency_objective + stretch, fact.client_timeout))
+        self._open[fact.request_id] = Asking(fact.profile, now, due, work)
         self._asked[fact.profile].add(now, work)
 
     def _usual(self, now: int, at: int) -> float:
         profile = self._given.profiles[at]
-        return self._works[at].mean(now, profile.target * profile.threads / 2, 1.0)
+        return self._works[at].mean(now, profile.latency_objective * profile.threads / 2, 1.0)
 
-    def _sent(self, now: int, command: int, engine: api.EngineId) -> None:
+    def _sent(self, now: int, command: int, engine: api.EndpointId) -> None:
         number = self._sends.get(command, 0)
         self._sends[command] = number + 1
         asking = self._open.get(command)
@@ -118,16 +120,16 @@
         if asking.held:
             asking.held = False
             self._held[asking.profile].add(
-                now, (now - asking.at) / self._given.profiles[asking.profile].target
+                now, (now - asking.at) / self._given.profiles[asking.profile].latency_objective
             )
 
-    def _ended(self, now: int, fact: api.Ended) -> None:
-        engine, work = self._out.pop((fact.command, fact.send), (fact.engine, 0.0))
-        if fact.outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET) and not fact.heard:
+    def _ended(self, now: int, fact: api.AttemptEnded) -> None:
+        engine, work = self._out.pop((fact.request_id, fact.attempt), (fact.endpoint_id, 0.0))
+        if fact.outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET) and not fact.endpoint_responded:
             self._broke.add(engine)
-        elif fact.heard:
+        elif fact.endpoint_responded:
             self._broke.discard(engine)
-        asking = self._open.get(fact.command)
+        asking = self._open.get(fact.request_id)
         if fact.outcome is api.Outcome.ANSWERED:
             self._done[engine] = self._done.get(engine, 0.0) + work
             if asking is not None:
@@ -137,10 +139,10 @@
                     usual = self._usual(now, asking.profile)
                     seen = min(float(fact.work), 4 * usual)  # one bad plan says little of the usual
                     self._works[asking.profile].add(now, seen)
-        if (fact.over or fact.outcome is api.Outcome.ANSWERED) and asking is not None:
-            self._forget(fact.command)
+        if (fact.request_finished or fact.outcome is api.Outcome.ANSWERED) and asking is not None:
+            self._forget(fact.request_id)
         elif asking is None:
-            self._tidy(fact.command)
+            self._tidy(fact.request_id)
 
     def _given_up(self, now: int, command: int, *, by_level: bool, shed: bool) -> None:
         asking = self._forget(command)
@@ -152,7 +154,7 @@
         self._late[asking.profile].add(now, float(not shed))
         self._shed[asking.profile].add(now, float(shed))
         if asking.held:
-            target = self._given.profiles[asking.profile].target
+            target = self._given.profiles[asking.profile].latency_objective
             self._held[asking.profile].add(now, (now - asking.at) / target)
 
     def _forget(self, command: int) -> Asking | None:
@@ -164,13 +166,13 @@
         if not any((command, number) in self._out for number in range(self._sends.get(command, 0))):
             self._sends.pop(command, None)
 
-    def _list(self, now: int, believed: api.Believed) -> None:
-        self._broke &= {belief.engine for belief in believed.engines}
+    def _list(self, now: int, believed: api.GatewaySnapshot) -> None:
+        self._broke &= {belief.endpoint_id for belief in believed.endpoints}
         width = max(1, MOST_LISTED_MEMORY * self._window // BUCKETS)
         slot = self._most[now // width % BUCKETS]
         if slot[0] != now // width:
             slot[:] = [now // width, 0.0]
-        slot[1] = max(slot[1], sum(belief.cores for belief in believed.engines))
+        slot[1] = max(slot[1], sum(belief.cores for belief in believed.endpoints))
 
     # Time
 
@@ -182,9 +184,9 @@
             self._watched.add(now, float(step))
             if self._believed is not None:
                 share = self._believed[1].share
-                for belief in self._believed[1].engines:
+                for belief in self._believed[1].endpoints:
                     if belief.threads >= max(1.0, SATURATED * belief.cores * share):
-                        done = self._done.get(belief.engine, 0.0)
+                        done = self._done.get(belief.endpoint_id, 0.0)
                         self._rate.add(now, done, belief.cores * share * step)
         self._done.clear()
         return watched
@@ -202,7 +204,7 @@
         self._outcome_values(now, values)
         return values
 
-    def _fresh(self, now: int, told: tuple[int, api.Believed] | None) -> api.Believed | None:
+    def _fresh(self, now: int, told: tuple[int, api.GatewaySnapshot] | None) -> api.GatewaySnapshot | None:
         return told[1] if told is not None and now - told[0] <= STALE * self._window else None
 
     def _health_values(self, now: int, values: dict[Key, Value | None]) -> None:
@@ -213,13 +215,13 @@
             values[name, None] = None if number is None else Value(float(number), 1)
 
     def _engine_values(
-        self, now: int, believed: api.Believed | None, values: dict[Key, Value | None]
+        self, now: int, believed: api.GatewaySnapshot | None, values: dict[Key, Value | None]
     ) -> None:
         for name in ("ready", "cold", "aside"):
             values[name, None] = None
         if believed is None:
             return
-        listed = [belief for belief in believed.engines if belief.state is not api.State.GONE]
+        listed = [belief for belief in believed.endpoints if belief.status is not api.EndpointStatus.REMOVED]
         usable = [belief for belief in listed if _usable(belief)]
         width = max(1, MOST_LISTED_MEMORY * self._window // BUCKETS)
         most = max((slot[1] for slot in self._most if slot[0] > now // width - BUCKETS), default=0.0)
@@ -238,11 +240,11 @@
         believed = self._fresh(now, self._believed)
         if believed is None:
             return None
-        ready = [b for b in believed.engines if b.state is api.State.READY]
-        return _cores([b for b in ready if b.ejected_until is None or b.engine not in self._broke])
+        ready = [b for b in believed.endpoints if b.status is api.EndpointStatus.READY]
+        return _cores([b for b in ready if b.ejected_until is None or b.endpoint_id not in self._broke])
 
     def _work_values(
-        self, now: int, believed: api.Believed | None, watched: float, values: dict[Key, Value | None]
+        self, now: int, believed: api.GatewaySnapshot | None, watched: float, values: dict[Key, Value | None]
     ) -> None:
         asked = [ring.total(now) for ring in self._asked]
         cut = [ring.total(now) for ring in self._cut]
@@ -257,12 +259,12 @@
         if believed is None or not watched:
             return
         rate, profiles = self._work_rate(now, believed), self._given.profiles
-        usable = [belief for belief in believed.engines if _usable(belief)]
+        usable = [belief for belief in believed.endpoints if _usable(belief)]
         able = {
-            belief.engine: rate * believed.share * belief.cores * self._warmth(now, belief)
+            belief.endpoint_id: rate * believed.share * belief.cores * self._warmth(now, belief)
             for belief in usable
         }
-        places = [frozenset(b.engine for b in usable if _open_to(profile, b)) for profile in profiles]
+        places = [frozenset(b.endpoint_id for b in usable if _open_to(profile, b)) for profile in profiles]
         for key, works in (
             ("load", asked),
             ("used", [(a - c, n - m) for (a, n), (c, m) in zip(asked, cut, strict=True)]),
@@ -284,32 +286,32 @@
             return None
         return Value(sum(works[at][0] for at in which) / watched / able, sum(works[at][1] for at in which))
 
-    def _work_rate(self, now: int, believed: api.Believed) -> float:
+    def _work_rate(self, now: int, believed: api.GatewaySnapshot) -> float:
         """Work that a core does in a time, learnt from engines that had all they could do."""
-        cores = _cores([belief for belief in believed.engines if belief.state is api.State.READY])
+        cores = _cores([belief for belief in believed.endpoints if belief.status is api.EndpointStatus.READY])
         weight = max(1.0, RATE_PRIOR * self._window * cores * believed.share)
         return self._rate.mean(now, 1.0, weight)
 
-    def _warmth(self, now: int, belief: api.Belief) -> float:
+    def _warmth(self, now: int, belief: api.EndpointSnapshot) -> float:
         """The part of its work that an engine which still warms up is taken to do."""
-        duties = self._given.duties
-        if belief.slow_start_until is None or not duties.warm_up:
+        duties = self._given.rule_limits
+        if belief.slow_start_until is None or not duties.slow_start_duration:
             return 1.0
-        left = min(1.0, max(0.0, (belief.slow_start_until - now) / duties.warm_up))
-        return 1.0 - left * (1.0 - duties.cold_from)
+        left = min(1.0, max(0.0, (belief.slow_start_until - now) / duties.slow_start_duration))
+        return 1.0 - left * (1.0 - duties.slow_start_initial_ratio)
 
     def _outcome_values(self, now: int, values: dict[Key, Value | None]) -> None:
         waiting: dict[int, list[float]] = {}
         for asking in self._open.values():
             if asking.held:
-                age = (now - asking.at) / self._given.profiles[asking.profile].target
+                age = (now - asking.at) / self._given.profiles[asking.profile].latency_objective
                 waiting.setdefault(asking.profile, []).append(age)
         held = []
         for at, ring in enumerate(self._held):
             amount, count = ring.total(now)
             held.append((amount + sum(waiting.get(at, ())), count + len(waiting.get(at, ()))))
         self._shares("held", held, [1.0] * len(held), values)
-        benefits = [profile.benefit for profile in self._given.profiles]
+        benefits = [profile.priority_weight for profile in self._given.profiles]
         for name, rings in (("late", self._late), ("shed", self._shed)):
             self._shares(name, [ring.total(now) for ring in rings], benefits, values)
 
@@ -327,15 +329,15 @@
         values[name, None] = Value(amount / weight, sum(count for _, count in parts)) if weight else None
 
 
-def _usable(belief: api.Belief) -> bool:
-    return belief.state is api.State.READY and belief.ejected_until is None
+def _usable(belief: api.EndpointSnapshot) -> bool:
+    return belief.status is api.EndpointStatus.READY and belief.ejected_until is None
 
 
-def _cores(beliefs: list[api.Belief]) -> float:
+def _cores(beliefs: list[api.EndpointSnapshot]) -> float:
     return math.fsum(belief.cores for belief in beliefs)
 
 
-def _open_to(profile: api.Profile, belief: api.Belief) -> bool:
+def _open_to(profile: api.Profile, belief: api.EndpointSnapshot) -> bool:
     return (profile.zones is None or belief.zone in profile.zones) and (
         profile.kinds is None or belief.kind in profile.kinds
     )
--- a/lotusstream/net/client.py
+++ b/lotusstream/net/client.py
@@ -20,12 +20,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class TakenCommand:
+class ReceivedRequest:
     """A command from its last byte until its answer is owed no more."""
 
     client: ClientConnection
     seqid: int
-    fields: front.CommandFields
+    fields: front.RequestFields
     group: int
     statement: bytes
     ends_by: int
@@ -39,27 +39,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class RequestAbandoned:
     """The client waits no longer for this command."""
 
-    command: TakenCommand
+    command: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Overdue:
+class RequestOverdue:
     """The client's time for this command is over, and it has had no answer."""
 
-    command: TakenCommand
+    command: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ClientReply:
     frame: bytes
-    ends: TakenCommand | None = None
+    ends: ReceivedRequest | None = None
 
 
 TenantOf = Callable[[dict[str, str], str | None, str], str | None]  # fields, mark, statement
-ClientReport = Callable[[TakenCommand | ClientLeft], None]
+ClientReport = Callable[[ReceivedRequest | RequestAbandoned], None]
 
 
 class Unread:
@@ -176,7 +176,7 @@
         return True
 
 
-class ClientConnection(Actor[Reply]):
+class ClientConnection(Actor[ClientReply]):
     def __init__(
         self,
         sock: socket.socket,
@@ -194,10 +194,10 @@
         self._sock, self._deployment, self._share = sock, deployment, share
         self._clock, self._report, self._good, self._unread = clock, report, good, unread
         self._cut_off = self._writing = False
-        self.open: dict[int, TakenCommand] = {}
+        self.open: dict[int, ReceivedRequest] = {}
         self.reads_since: int | None = None  # when a message began that has not come whole
 
-    def post(self, message: Reply) -> None:
+    def post(self, message: ClientReply) -> None:
         if not self._cut_off:
             super().post(message)
             self._unread.add(self, len(message.frame))
@@ -259,7 +259,7 @@
                 elif whole or self.reads_since is None:
                     self.reads_since = at
                 await asyncio.sleep(0)  # the turn of the others, however much this one sends
-        except (front.BrokenFrame, BufferFull) as error:
+        except (front.FrameError, BufferFull) as error:
             self.supervisor.counters.add("client connections broken")
             self.supervisor.log.say("client", str(error))
         except OSError:
@@ -274,10 +274,10 @@
             self._sock.close()
             self._share.leave(self)
 
-    def _leave(self, command: TakenCommand) -> None:
+    def _leave(self, command: ReceivedRequest) -> None:
         """Marked here and now, a round before the decider hears of it: no send of it begins in between."""
         command.over = True
-        self._report(ClientLeft(command))
+        self._report(RequestAbandoned(command))
 
     def _settle(self) -> None:
         """After each whole message and each answer."""
@@ -288,7 +288,7 @@
         else:
             self._share.rests(self)
 
-    async def receive(self, message: Reply) -> None:
+    async def receive(self, message: ClientReply) -> None:
         if (ends := message.ends) is not None:
             if self.open.get(ends.seqid) is not ends:  # given up a moment ago; its number may be in use again
                 self._unread.taken(self, len(message.frame))
@@ -310,15 +310,15 @@
     def _handle(self, frame: bytes, at: int) -> None:
         try:
             message = front.decode(frame)
-        except front.UnusableMessage as error:
+        except front.MessageFormatError as error:
             self.supervisor.counters.add("messages unusable")
             self.supervisor.log.say("client", str(error))
             if error.fault is not None:
-                self.post(Reply(error.fault))
+                self.post(ClientReply(error.fault))
             return
         match message:
             case front.FrontProbe(seqid):
-                self.post(Reply(front.encode_answer("probe", seqid, b"", self._good())))
+                self.post(ClientReply(front.encode_answer("probe", seqid, b"", self._good())))
             case front.GiveUp(seqid):
                 if command := self.open.pop(seqid, None):
                     self._leave(command)
@@ -327,24 +327,24 @@
 
     def _take(self, message: front.Process, at: int) -> None:
         if message.seqid in self.open:
-            raise front.BrokenFrame(f"sequence number {message.seqid} used again while open")
+            raise front.FrameError(f"sequence number {message.seqid} used again while open")
         try:
             if len(self.open) >= front.MOST_OPEN:
-                raise front.UnusableCommand("too many open")
+                raise front.RequestFormatError("too many open")
             fields = front.command_fields(message.fields, self._deployment)
             statement = message.body.decode()
             group = table_group(statement)
             if group is None:
-                raise front.UnusableCommand("the statement names no group of tables")
-        except (front.UnusableCommand, UnicodeDecodeError) as error:
+                raise front.RequestFormatError("the statement names no group of tables")
+        except (front.RequestFormatError, UnicodeDecodeError) as error:
             self.supervisor.counters.add("commands unusable")
             self.supervisor.log.say("client", f"unusable command: {error}")
             kind = TApplicationException.PROTOCOL_ERROR
-            self.post(Reply(front.encode_fault("process", message.seqid, kind, str(error))))
+            self.post(ClientReply(front.encode_fault("process", message.seqid, kind, str(error))))
             return
         tenant = self._tenant_of(message.fields, fields.mark, statement) if self._tenant_of else None
         sent_at = min(at, self._clock.earliest_arrival())
         ends_by = sent_at + fields.time_left
-        command = TakenCommand(self, message.seqid, fields, group, message.body, ends_by, sent_at, tenant)
+        command = ReceivedRequest(self, message.seqid, fields, group, message.body, ends_by, sent_at, tenant)
         self.open[message.seqid] = command
         self._report(command)
--- a/lotusstream/net/promises.py
+++ b/lotusstream/net/commitments.py
@@ -10,15 +10,24 @@
 from hashlib import blake2b
 
 from lotusstream import interface as api
-from lotusstream.copies import claims as cl
+from lotusstream.copies import idempotency as cl
 from lotusstream.copies.shards import Holder, Place
 from lotusstream.deployment import Deployment
-from lotusstream.interface import Effect, Outcome, Scope
+from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
-from lotusstream.net.decider import Answering, Closed, Decider, Departs, GateMessage, Passing, Ready, Tell
-from lotusstream.net.engine import CancelSend, EngineActor, SendEnded, SetPriority, StartSend
+from lotusstream.net.decider import (
+    AnswerReady,
+    AnswerReceived,
+    AttemptControl,
+    AttemptReady,
+    Decider,
+    GateMessage,
+    RequestClosed,
+    SubsystemEvent,
+)
+from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
 from lotusstream.operator.fleet import FleetText
 from lotusstream.protocol import peers as wire
 
@@ -32,7 +41,7 @@
     """Time alone may change something."""
 
 
-class Promises(Actor[GateMessage | wire.Kept | _Tick]):
+class CommitmentActor(Actor[GateMessage | wire.Kept | _Tick]):
     """Drives `Claims`; what it says reaches the decision module as events."""
 
     def __init__(
@@ -47,49 +56,56 @@
         patience = told.patience // PART
         terms = cl.ClaimTerms(told.copies.shards, told.copies.copies, patience, patience // 8)
         self.claims = cl.Claims(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
-        self._waiting: dict[tuple[int, int], tuple[StartSend, EngineActor]] = {}
+        self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
         self._armed: tuple[int, asyncio.TimerHandle] | None = None
 
     def covers(self, profile: int, mark: str | None) -> bool:
         """Whether a repeat could be told, and would do harm."""
-        effect = self._deployment.started.profiles[profile].effect
-        return mark is not None and effect is not Effect.REPLAYABLE
+        effect = self._deployment.started.profiles[profile].idempotency
+        return mark is not None and effect is not Idempotency.IDEMPOTENT
 
     async def receive(self, message: GateMessage | wire.Kept | _Tick) -> None:
         match message:
-            case Departs():
+            case AttemptReady():
                 self._departs(message)
-            case Passing(actor, CancelSend(command, number)) if (command, number) in self._waiting:
+            case AttemptControl(actor, AbortAttempt(command, number)) if (command, number) in self._waiting:
                 self._take(cl.Stays(command, number))
-            case Passing(actor, SetPriority(command, number, priority)) if (command, number) in self._waiting:
+            case AttemptControl(actor, ChangePriority(command, number, priority)) if (
+                command,
+                number,
+            ) in self._waiting:
                 start = self._waiting[command, number][0]
                 self._waiting[command, number] = (replace(start, priority=priority), actor)
-            case Passing(actor, told):
+            case AttemptControl(actor, told):
                 actor.post(told)
-            case Answering(command, rows, ends_by, given):
+            case AnswerReceived(command, rows, ends_by, given):
                 now = self._clock.now()
                 by = max(ends_by - given // SLACK, (now + ends_by) // 2)
                 self._take(cl.Answered(command, rows, by))
-            case Closed(command, ran, out, given):
+            case RequestClosed(command, ran, out, given):
                 self._take(cl.Over(command, ran, out, self._clock.now() + given))
             case wire.Kept(number, what, holding, why, home):
                 self._take(cl.Heard(number, what, holding, why, home))
             case _Tick():
                 self._take(cl.Tick())
 
-    def _departs(self, message: Departs) -> None:
+    def _departs(self, message: AttemptReady) -> None:
         start, taken, engine = message.start, message.taken, message.engine
         profile = self._deployment.started.profiles[taken.fields.profile]
         now, mark = self._clock.now(), taken.fields.mark
         assert mark is not None
         zones = self._deployment.zones
-        zone = zones[engine.zone] if profile.scope is Scope.ZONE and engine.zone < len(zones) else ""
-        cell = engine.cell if profile.scope is Scope.CELL else NOWHERE
+        zone = (
+            zones[engine.zone]
+            if profile.deduplication_scope is DeduplicationScope.ZONE and engine.zone < len(zones)
+            else ""
+        )
+        cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else NOWHERE
         self._waiting[start.command, start.number] = (start, message.actor)
         said = start.profile.encode() + b"\0" + start.statement
-        until = now + max(self._remember, profile.remembered_for)
+        until = now + max(self._remember, profile.deduplication_window)
         by = now + (taken.ends_by - now) // PART
-        again = profile.effect is Effect.UNIQUED
+        again = profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         self._take(
             cl.Leaves(
                 start.command, start.number, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
@@ -110,21 +126,21 @@
                     actor.post(replace(start, at=self._clock.now()))
                 case cl.Back(command, send):
                     _, actor = self._waiting.pop((command, send))
-                    post(SendEnded(command, send, actor.engine, Outcome.MOOT, 0))
+                    post(AttemptFinished(command, send, actor.engine, Outcome.MOOT, 0))
                 case cl.Recall(command, zone, cell, since):
                     counters.add("commands that may have run elsewhere")
                     zones = self._deployment.zones
                     at = zones.index(zone) if zone in zones else NOWHERE
-                    post(Tell(api.RanElsewhere(command, at, cell, since)))
+                    post(SubsystemEvent(api.ExecutedElsewhere(command, at, cell, since)))
                 case cl.Refuse(command, why):
                     counters.add("commands that nothing can be promised for")
                     self.supervisor.log.say("promises", f"given up: {why}", reason=why)
-                    post(Tell(api.Dropped(command)))
+                    post(SubsystemEvent(api.RequestWithdrawn(command)))
                 case cl.Give(command, answer):
-                    post(Ready(command, answer, ""))
+                    post(AnswerReady(command, answer, ""))
                 case cl.Withhold(command, why):
                     counters.add("answers withheld")
-                    post(Ready(command, None, why))
+                    post(AnswerReady(command, None, why))
         self._arm()
 
     def _arm(self) -> None:
--- a/lotusstream/net/configuration.py
+++ b/lotusstream/net/configuration.py
@@ -6,36 +6,36 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lotusstream.deployment import Deployment, UnusableSettings, read_settings
-from lotusstream.net.connection import Endpoint
-from lotusstream.protocol import notices
+from lotusstream.deployment import Deployment, SettingsError, read_settings
+from lotusstream.net.connection import Address
+from lotusstream.protocol import discovery
 
 
-class UnusableConfiguration(Exception):
+class ConfigurationError(Exception):
     """One line that says what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
     name: str
-    listen: Endpoint
-    board: Endpoint
+    listen: Address
+    board: Address
     cores: float
     descriptors: int
     memory: int
     deployment: Deployment
-    known: notices.Notices
+    known: discovery.Notices
 
 
 def read_configuration(text: str) -> Configuration:
     try:
         raw: dict[str, Any] = json.loads(text)
-        listen, board = (notices.parse_endpoint(raw[name]) for name in ("listen", "board"))
+        listen, board = (discovery.parse_endpoint(raw[name]) for name in ("listen", "board"))
         if listen is None or board is None:
-            raise UnusableConfiguration("configuration: 'listen' and 'board' are to be host:port")
+            raise ConfigurationError("configuration: 'listen' and 'board' are to be host:port")
         deployment = read_settings(int(raw["seed"], 16) % 2**64, raw["settings"])
         if not deployment.profiles:
-            raise UnusableConfiguration("configuration: no profile in the settings")
+            raise ConfigurationError("configuration: no profile in the settings")
         return Configuration(
             name=str(raw["name"]),
             listen=listen,
@@ -44,11 +44,11 @@
             descriptors=int(raw["limits"]["sockets"]),
             memory=int(raw["limits"]["memory_mb"]) << 20,
             deployment=deployment,
-            known=notices.read_notices(raw["known"], deployment),
+            known=discovery.read_notices(raw["known"], deployment),
         )
     except KeyError as error:
-        raise UnusableConfiguration(f"configuration: {error} is missing") from error
+        raise ConfigurationError(f"configuration: {error} is missing") from error
     except (ValueError, TypeError, AttributeError, RecursionError) as error:
-        raise UnusableConfiguration(f"configuration: {error}") from error
-    except (UnusableSettings, notices.UnreadableNotices) as error:
-        raise UnusableConfiguration(f"configuration: {error}") from error
+        raise ConfigurationError(f"configuration: {error}") from error
+    except (SettingsError, discovery.DiscoveryFormatError) as error:
+        raise ConfigurationError(f"configuration: {error}") from error
--- a/lotusstream/net/connection.py
+++ b/lotusstream/net/connection.py
@@ -11,26 +11,26 @@
 from lotusstream.protocol import http
 
 US = 1_000_000
-Endpoint = tuple[str, int]
+Address = tuple[str, int]
 
 
-class CannotConnect(Exception):
+class ConnectError(Exception):
     """No connection came up, so nothing was sent."""
 
 
-class Refused(CannotConnect):
+class ConnectionRefusedByPeerError(ConnectError):
     """Nobody listens there."""
 
 
-class NoDescriptor(CannotConnect):
+class NoDescriptorError(ConnectError):
     """This gateway may open no further connection now."""
 
 
-class CallBroken(Exception):
+class CallBrokenError(Exception):
     """A call went out, at least in part, and no whole answer came back."""
 
 
-class CallSilent(CallBroken):
+class CallSilentError(CallBrokenError):
     """Nothing came in time: it may have come whole and be worked on."""
 
 
@@ -39,7 +39,7 @@
 
     def __init__(self, most: int) -> None:
         self.most, self.kept_back, self.used = most, most // 8, 0
-        self._idle: dict[Connection, Pool] = {}
+        self._idle: dict[Connection, ConnectionPool] = {}
 
     def take(self, ends_things: bool) -> None:
         most = self.most if ends_things else self.most - self.kept_back
@@ -47,7 +47,7 @@
             connection, pool = next(iter(self._idle.items()))
             pool.drop(connection)
         if self.used >= most:
-            raise NoDescriptor
+            raise NoDescriptorError
         self.used += 1
 
     def give_back(self) -> None:
@@ -61,7 +61,7 @@
                 return
             pool.drop(connection)
 
-    def rests(self, connection: Connection, pool: Pool) -> None:
+    def rests(self, connection: Connection, pool: ConnectionPool) -> None:
         self._idle[connection] = pool
 
     def works(self, connection: Connection) -> None:
@@ -87,7 +87,7 @@
 
     @classmethod
     async def open(
-        cls, endpoint: Endpoint, time_out: int, budget: SocketBudget, longest_body: int, *, ends_things: bool
+        cls, endpoint: Address, time_out: int, budget: SocketBudget, longest_body: int, *, ends_things: bool
     ) -> Connection:
         budget.take(ends_things)
         sock: socket.socket | None = None
@@ -103,9 +103,9 @@
             if sock is not None:
                 sock.close()
             if isinstance(error, ConnectionRefusedError):
-                raise Refused(str(error)) from error
+                raise ConnectionRefusedByPeerError(str(error)) from error
             if isinstance(error, OSError):  # a time-out is one too
-                raise CannotConnect(repr(error)) from error
+                raise ConnectError(repr(error)) from error
             raise
 
     def still_open(self) -> bool:
@@ -128,7 +128,7 @@
                 while reader.answer is None:
                     count = await loop.sock_recv_into(self._sock, self._buffer.space())
                     if not count:
-                        raise CallBroken("closed before the answer was whole")
+                        raise CallBrokenError("closed before the answer was whole")
                     if longest:
                         limit.reschedule(min(latest, loop.time() + patience / US))
                     self._buffer.filled(count)
@@ -136,9 +136,9 @@
                     self._buffer.use(len(data))
                     reader.feed(data)
         except TimeoutError as error:
-            raise CallSilent(repr(error)) from error
-        except (OSError, http.BrokenAnswer, BufferFull) as error:
-            raise CallBroken(repr(error)) from error
+            raise CallSilentError(repr(error)) from error
+        except (OSError, http.AnswerFormatError, BufferFull) as error:
+            raise CallBrokenError(repr(error)) from error
         return reader.answer
 
     def close(self) -> None:
@@ -149,7 +149,7 @@
             self._sock.close()
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one address. Idle ones are closed well before the other side does it. `rest`: how
     long one is left alone before another user gets it, in microseconds. Guards against an answer that comes a
     second time some moments later, after the look at the connection: the next user would read it as its own,
@@ -158,7 +158,7 @@
 
     def __init__(
         self,
-        endpoint: Endpoint,
+        endpoint: Address,
         budget: SocketBudget,
         connect_timeout: int,
         idle_timeout: int,
--- a/lotusstream/net/control.py
+++ b/lotusstream/net/control.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Manners:
+class ControlLimits:
     """What clients may do: bytes of a request, microseconds of slowness, clients at once."""
 
     longest_request: int
@@ -45,7 +45,7 @@
     """Answers by `answer`, which raises Refused. Each client has a task of its own: one that is slow,
     silent or talks nonsense is dropped when its time is over, and harms nobody."""
 
-    def __init__(self, path: str, manners: Manners, answer: Answerer, supervisor: Supervisor) -> None:
+    def __init__(self, path: str, manners: ControlLimits, answer: Answerer, supervisor: Supervisor) -> None:
         self._path, self._manners, self._answer, self._supervisor = path, manners, answer, supervisor
         self._listener: socket.socket | None = None
         self._made: tuple[int, int] | None = None  # device and inode of the socket's file
@@ -110,7 +110,7 @@
                 pass
         except TimeoutError:
             counters.add("control clients too slow")
-        except wire.BrokenRequest as error:
+        except wire.ControlRequestError as error:
             counters.add("control requests broken")
             with contextlib.suppress(OSError, TimeoutError):
                 await self._say(sock, wire.Reply(wire.Refusal("request", str(error))))
@@ -132,7 +132,7 @@
             return False
         try:
             reply = wire.Reply(told=await self._answer(wire.decode_request(payload)))
-        except wire.BrokenRequest as error:
+        except wire.ControlRequestError as error:
             if error.fatal:
                 raise
             reply = wire.Reply(wire.Refusal("request", str(error)))
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -14,20 +14,20 @@
 
 import msgspec
 
-from lotusstream.copies import manager as mg
 from lotusstream.copies import messages as ms
 from lotusstream.copies import replica as rp
-from lotusstream.copies.manager import CopyTerms, Manager
+from lotusstream.copies import shard_controller as mg
 from lotusstream.copies.messages import Assigned
-from lotusstream.copies.replica import Replicas, read_back
+from lotusstream.copies.replica import ReplicaSet, read_back
+from lotusstream.copies.shard_controller import CopyTerms, ShardController
 from lotusstream.copies.shards import Holder, Place, shard_of
-from lotusstream.net import clock, keeper
+from lotusstream.net import clock, raft_node
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import US
 from lotusstream.net.control import Refused
-from lotusstream.net.tasks import Around
+from lotusstream.net.tasks import TaskContext
 from lotusstream.protocol import peers as wire
-from lotusstream.record.log import CorruptLog, DiskTrouble, Log
+from lotusstream.wal.log import CorruptLogError, DiskError, Log
 
 FILE = "copies.log"
 NOTE = "shard/"
@@ -57,14 +57,14 @@
         path = os.path.join(folder, FILE)
         self.damaged = ""
         try:
-            self._log = Log(path, keeper.make_disk()).open()
+            self._log = Log(path, raft_node.make_disk()).open()
             records = [_RECORDS.decode(payload) for payload in self._log.payloads]
-        except (CorruptLog, msgspec.MsgspecError) as error:
+        except (CorruptLogError, msgspec.MsgspecError) as error:
             self.damaged = str(error)
-            if not isinstance(error, CorruptLog):
+            if not isinstance(error, CorruptLogError):
                 self._log.close()
             os.replace(path, f"{path}.damaged-{time.time_ns()}")
-            self._log, records = Log(path, keeper.make_disk()).open(), []
+            self._log, records = Log(path, raft_node.make_disk()).open(), []
         self._log.payloads = []
         disks = [record.disk for record in records if isinstance(record, Identity)]
         self.disk = disks[0] if disks else f"{name}-{uuid.uuid4().hex[:12]}"
@@ -129,7 +129,7 @@
         self.holder = Holder(Place(name, self._store.disk), machine, zone)
         session = f"{self._store.disk}.{uuid.uuid4().hex[:8]}"
         place = self.holder.place
-        self.replicas = Replicas(place, session, terms, self._store.shards, clock.boot_clock())
+        self.replicas = ReplicaSet(place, session, terms, self._store.shards, clock.boot_clock())
         self._saves: list[rp.Save] = []
         self._saving = self._anew = False  # anew: the log is to be written whole
         self._armed: asyncio.TimerHandle | None = None  # for what waits for the told pace
@@ -277,7 +277,7 @@
             self._anew = False
             try:
                 await asyncio.to_thread(self._store.write, saves, whole)
-            except DiskTrouble as error:
+            except DiskError as error:
                 self._failed = str(error)
                 self.supervisor.counters.add("copies disk failures")
                 self.supervisor.log.say("copies", f"this holder stands still: {error}", "error")
@@ -328,10 +328,10 @@
 class ManagerTask(Actor[Any]):
     """Who decides on homes: a task under the lease 'copies'. Looks at its token before each word."""
 
-    def __init__(self, around: Around, terms: CopyTerms, tell: Tell, put: Put, look: Look) -> None:
+    def __init__(self, around: TaskContext, terms: CopyTerms, tell: Tell, put: Put, look: Look) -> None:
         super().__init__("copies manager", around.supervisor)
         self._around, self._terms, self._tell, self._put, self._look = around, terms, tell, put, look
-        self._manager: Manager | None = None
+        self._manager: ShardController | None = None
         self._token = 0
         self._waiting: dict[tuple[Place, str], int] = {}
         self._machines: dict[Place, str] = {}
@@ -354,7 +354,7 @@
     async def _manage(self, token: int) -> None:
         while (view := await self._look()) is None or self._around.may_act() != token:
             await asyncio.sleep(self._terms.leases.length / US / 8)  # a renewal that is late is no end
-        self._manager = Manager(self._terms, self._assigned(view), clock.boot_clock())
+        self._manager = ShardController(self._terms, self._assigned(view), clock.boot_clock())
         self.post(mg.Drained(self._drained(view)))
         while True:
             self.post(mg.Tick())
--- a/lotusstream/net/decider.py
+++ b/lotusstream/net/decider.py
@@ -14,13 +14,13 @@
 from lotusstream.deployment import Deployment
 from lotusstream.interface import Outcome
 from lotusstream.net.actor import Actor, Mailbox, Supervisor
-from lotusstream.net.client import ClientLeft, Overdue, Reply, TakenCommand
+from lotusstream.net.client import ClientReply, ReceivedRequest, RequestAbandoned, RequestOverdue
 from lotusstream.net.clock import Clock
-from lotusstream.net.connection import US, Endpoint, SocketBudget
-from lotusstream.net.endpoints import Endpoints
-from lotusstream.net.engine import CancelSend, EngineActor, SendEnded, SetPriority, StartSend
+from lotusstream.net.connection import US, Address, SocketBudget
+from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
+from lotusstream.net.endpoint_registry import EndpointRegistry
 from lotusstream.policy import Gateway
-from lotusstream.protocol import front, notices
+from lotusstream.protocol import discovery, front
 
 ROUND_BUDGET = 10_000  # microseconds that the decisions on new requests may take in one round
 LONGEST_QUEUED = 100_000  # microseconds after which a request is told whatever fits: it may be refused
@@ -29,13 +29,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class OpenRequest:
     """A command as the module knows it, until it is over and its sends have ended."""
 
     id: int
-    taken: TakenCommand
+    taken: ReceivedRequest
     open: bool = True
-    sends: list[EngineActor | None] = field(default_factory=list)
+    sends: list[EndpointActor | None] = field(default_factory=list)
     out: set[int] = field(default_factory=set)
     priority: int | None = None
     behind: bool = False  # what it does is promised first
@@ -44,23 +44,23 @@
     last_outcome: Outcome | None = None  # of a send
 
 
-class Ring:
+class TimerDue:
     """A timer of the module has come due."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SubsystemEvent:
     """An event of whatever stands beside the module, such as the keeper of levels."""
 
     event: Any
 
 
-class Nudge:
+class RoundDue:
     """A round is due though nothing has come: time alone may change something beside the module."""
 
 
 @dataclass(frozen=True, slots=True)
-class OpenCommand:
+class OpenRequestView:
     """For operators. Times in microseconds; `engines`: where its sends that are out went."""
 
     command: int
@@ -74,43 +74,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class OperatorView:
     """For operators: what is open, and what the module believes."""
 
     now: int
-    believed: api.Believed
-    commands: tuple[OpenCommand, ...]
-    addresses: dict[api.EngineId, str]
+    believed: api.GatewaySnapshot
+    commands: tuple[OpenRequestView, ...]
+    addresses: dict[api.EndpointId, str]
     kinds: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Describe:
+class ViewRequested:
     """Asks for a View, at the next round."""
 
-    answer: asyncio.Future[View]
+    answer: asyncio.Future[OperatorView]
 
 
 @dataclass(frozen=True, slots=True)
-class Departs:
+class AttemptReady:
     """A send that leaves once that is promised."""
 
-    start: StartSend
-    actor: EngineActor
-    engine: api.Engine
-    taken: TakenCommand
+    start: RunAttempt
+    actor: EndpointActor
+    engine: api.EndpointEntry
+    taken: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Passing:
+class AttemptControl:
     """What follows a send on its way."""
 
-    actor: EngineActor
-    message: CancelSend | SetPriority
+    actor: EndpointActor
+    message: AbortAttempt | ChangePriority
 
 
 @dataclass(frozen=True, slots=True)
-class Answering:
+class AnswerReceived:
     """An engine has answered; Ready follows. `given`: the time that the client gave, microseconds."""
 
     command: int
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
+class RequestClosed:
     """No answer is owed any more. `ran`: a send that has ended may have run. `out`: sends that have not."""
 
     command: int
@@ -129,11 +129,11 @@
     given: int
 
 
-GateMessage = Departs | Passing | Answering | Closed
+GateMessage = AttemptReady | AttemptControl | AnswerReceived | RequestClosed
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class AnswerReady:
     """What the client gets; no rows: failed, and why."""
 
     command: int
@@ -141,7 +141,7 @@
     why: str
 
 
-class Gate(Protocol):
+class CommitmentGate(Protocol):
     """Stands between the decider and engines, for commands that something is promised about."""
 
     def covers(self, profile: int, mark: str | None) -> bool: ...
@@ -149,23 +149,23 @@
     def post(self, message: GateMessage) -> None: ...
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     def handle(self, now: int, event: Any) -> list[api.Action]: ...
 
 
 DeciderMessage = (
-    TakenCommand
-    | ClientLeft
-    | Overdue
-    | SendEnded
-    | api.Noted
-    | notices.Notice
-    | api.Stopping
-    | Ring
-    | Tell
-    | Nudge
-    | Describe
-    | Ready
+    ReceivedRequest
+    | RequestAbandoned
+    | RequestOverdue
+    | AttemptFinished
+    | api.AttemptProgressed
+    | discovery.EndpointListUpdate
+    | api.ShutdownStarted
+    | TimerDue
+    | SubsystemEvent
+    | RoundDue
+    | ViewRequested
+    | AnswerReady
 )
 
 
@@ -174,10 +174,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._requests: deque[TakenCommand] = deque()
+        self._requests: deque[ReceivedRequest] = deque()
 
     def put(self, message: DeciderMessage) -> None:
-        if isinstance(message, TakenCommand):
+        if isinstance(message, ReceivedRequest):
             self._requests.append(message)
             self.wake()
         else:
@@ -190,7 +190,7 @@
         return message
 
     @property
-    def first_request(self) -> TakenCommand | None:
+    def first_request(self) -> ReceivedRequest | None:
         return self._requests[0] if self._requests else None
 
     def drop_first_request(self) -> None:
@@ -209,28 +209,35 @@
         statement_bytes: int,
         clock: Clock,
         supervisor: Supervisor,
-        beside: Callable[[Module], Module] | None = None,
+        beside: Callable[[DecisionModule], DecisionModule] | None = None,
     ) -> None:
         """`beside`: what is put beside each new module."""
         super().__init__("decider", supervisor)
         self.mailbox = DeciderMailbox()
         self._beside = beside
-        self.gate: Gate | None = None
+        self.gate: CommitmentGate | None = None
         self._most_bytes, self._bytes = statement_bytes, 0
         self._deployment, self._budget, self._clock = deployment, budget, clock
-        allowed = replace(deployment.started.allowed, probes=False, grants=False, must_subscribe=False)
-        self._started = replace(deployment.started, allowed=allowed)  # what this protocol has no call for
+        allowed = replace(
+            deployment.started.capabilities,
+            health_checks=False,
+            memory_grants=False,
+            requires_subscription=False,
+        )
+        self._started = replace(
+            deployment.started, capabilities=allowed
+        )  # what this protocol has no call for
         self._module = self._new_module()
-        self._stopping: api.Stopping | None = None
+        self._stopping: api.ShutdownStarted | None = None
         self._now = self._last_round = 0
         self._left_over = False  # something is to be told that did not fit the last round
         self._request_cost, self._most_requests = 0.0, FIRST_REQUESTS
         self._ids = 0
-        self._held: dict[int, Held] = {}
-        self._by_taken: dict[TakenCommand, Held] = {}
+        self._held: dict[int, OpenRequest] = {}
+        self._by_taken: dict[ReceivedRequest, OpenRequest] = {}
         self._calls: set[str] = set()
-        self._endpoints = Endpoints(self._new_actor, deployment.idle_timeout)
-        self._list_slices: deque[notices.Listed] = deque()  # that the module has not been told yet
+        self._endpoints = EndpointRegistry(self._new_actor, deployment.idle_timeout)
+        self._list_slices: deque[discovery.ListedEndpoint] = deque()  # that the module has not been told yet
         self._timers: list[tuple[int, int]] = []
         self._armed: tuple[int, asyncio.TimerHandle] | None = None
         self.listed = False
@@ -240,7 +247,7 @@
         self._carry_out(self._tell(self._started))
         while True:
             await self.mailbox.wait()
-            pause = self._last_round + self._started.period - self._clock.now()
+            pause = self._last_round + self._started.batch_interval - self._clock.now()
             if pause > 0 or self._left_over:  # then a turn of the loop at least: sockets are read in between
                 await asyncio.sleep(max(0, pause) / US)
             self._round()
@@ -268,8 +275,8 @@
         if self._left_over:
             self.mailbox.wake()
         while self._timers and self._timers[0][0] <= self._now:
-            actions += self._tell(api.Woken(heapq.heappop(self._timers)[1]))
-        actions += self._tell(api.Settled())
+            actions += self._tell(api.TimerFired(heapq.heappop(self._timers)[1]))
+        actions += self._tell(api.BatchEnded())
         self._carry_out(actions)
         self._arm()
         spent = self._clock.now() - self._now
@@ -292,30 +299,30 @@
 
     def _event(self, message: DeciderMessage) -> api.Event | None:
         match message:
-            case TakenCommand():
+            case ReceivedRequest():
                 return self._take(message)
-            case ClientLeft(command):
+            case RequestAbandoned(command):
                 return self._left(command)
-            case Overdue(command):
+            case RequestOverdue(command):
                 return self._overdue(command)
-            case SendEnded():
+            case AttemptFinished():
                 return self._ended(message)
-            case api.Noted():
-                return message if message.command in self._held else None
-            case notices.Notice():
+            case api.AttemptProgressed():
+                return message if message.request_id in self._held else None
+            case discovery.EndpointListUpdate():
                 self._list(message)
-            case api.Stopping():
+            case api.ShutdownStarted():
                 self._stopping = message
                 return message
-            case Tell(event):
+            case SubsystemEvent(event):
                 return cast("api.Event", event)
-            case Describe(answer):
+            case ViewRequested(answer):
                 self._describe(answer)
-            case Ready():
+            case AnswerReady():
                 return self._hand_out(message)
         return None
 
-    def _take(self, taken: TakenCommand) -> api.Event | None:
+    def _take(self, taken: ReceivedRequest) -> api.Event | None:
         counters, profile = self.supervisor.counters, self._deployment.profiles[taken.fields.profile]
         counters.add(f"taken {profile}")
         waited = self._now - taken.sent_at
@@ -325,21 +332,21 @@
             return None
         if taken.fields.call in self._calls:
             counters.add("commands unusable")
-            taken.client.post(Reply(front.encode_failure(taken.seqid, "call is open already"), taken))
+            taken.client.post(ClientReply(front.encode_failure(taken.seqid, "call is open already"), taken))
             return None
         many = 0 < self._deployment.most_open <= len(self._by_taken)
         if many or self._bytes + len(taken.statement) > self._most_bytes:
             counters.add("commands past the limits")
             counters.add(f"shed {profile}")
-            taken.client.post(Reply(front.encode_shed(taken.seqid, 0), taken))
+            taken.client.post(ClientReply(front.encode_shed(taken.seqid, 0), taken))
             return None
         self._ids += 1
-        held = self._held[self._ids] = self._by_taken[taken] = Held(self._ids, taken)
+        held = self._held[self._ids] = self._by_taken[taken] = OpenRequest(self._ids, taken)
         held.behind = self.gate is not None and self.gate.covers(taken.fields.profile, taken.fields.mark)
         self._calls.add(taken.fields.call)
         self._bytes += len(taken.statement)
         fields, left = taken.fields, max(0, taken.ends_by - self._now)
-        return api.Arrived(
+        return api.RequestReceived(
             held.id,
             fields.profile,
             fields.hint,
@@ -348,18 +355,18 @@
             taken.group,
             None,
             tenant=taken.tenant,
-            waited=max(0, waited),
+            queue_delay=max(0, waited),
         )
 
-    def _left(self, taken: TakenCommand) -> api.Event | None:
+    def _left(self, taken: ReceivedRequest) -> api.Event | None:
         held = self._by_taken.get(taken)
         if held is None:
             return None
         self.supervisor.counters.add(f"left {self._deployment.profiles[taken.fields.profile]}")
         self._close(held)
-        return api.ClientGone(held.id)
+        return api.ClientDisconnected(held.id)
 
-    def _overdue(self, taken: TakenCommand) -> api.Event | None:
+    def _overdue(self, taken: ReceivedRequest) -> api.Event | None:
         """Guards the client against a module that forgot its command."""
         if (held := self._by_taken.get(taken)) is None:
             return None
@@ -371,9 +378,9 @@
         )
         self._answer(held, front.encode_failure(taken.seqid, "not answered"), "failed")
         self.supervisor.invariants.hold("a command is answered in its client's time", False)
-        return api.ClientGone(held.id)
+        return api.ClientDisconnected(held.id)
 
-    def _ended(self, told: SendEnded) -> api.Event | None:
+    def _ended(self, told: AttemptFinished) -> api.Event | None:
         held = self._held.get(told.command)
         once = held is not None and told.number in held.out
         if not self.supervisor.invariants.hold("a send ends once", once) or held is None:
@@ -383,33 +390,33 @@
         if (actor := held.sends[told.number]) is not None:
             actor.attempts_out, actor.used_at = actor.attempts_out - 1, self._now
         self.supervisor.counters.add(f"sends {told.outcome.name.lower()}")
-        held.ran = held.ran or told.outcome not in api.PROVES_NOT_RUN
+        held.ran = held.ran or told.outcome not in api.PROVES_NOT_EXECUTED
         if told.outcome is Outcome.ANSWERED and held.open:
             self._answered(held, told.rows or b"")
         over = not held.open or held.answering
         self._forget(held)
-        return api.Ended(
-            command=told.command,
-            send=told.number,
-            engine=told.engine,
+        return api.AttemptEnded(
+            request_id=told.command,
+            attempt=told.number,
+            endpoint_id=told.engine,
             outcome=told.outcome,
             latency=told.latency,
-            over=over,
+            request_finished=over,
             work=told.work,
             memory_mb=told.memory_mb,
             report=None,
-            heard=told.heard,
+            endpoint_responded=told.heard,
         )
 
-    def _answered(self, held: Held, rows: bytes) -> None:
+    def _answered(self, held: OpenRequest, rows: bytes) -> None:
         if self.gate is None or not held.behind:
             frame = front.encode_answer("process", held.taken.seqid, rows, True)
             self._answer(held, frame, "answered")
         elif not held.answering:
             held.answering, taken = True, held.taken
-            self.gate.post(Answering(held.id, rows, taken.ends_by, taken.fields.time_left))
+            self.gate.post(AnswerReceived(held.id, rows, taken.ends_by, taken.fields.time_left))
 
-    def _hand_out(self, ready: Ready) -> api.Event | None:
+    def _hand_out(self, ready: AnswerReady) -> api.Event | None:
         """The answer is held, or one that was held before."""
         if (held := self._owed(ready.command)) is None:
             return None
@@ -419,9 +426,9 @@
         else:
             self.supervisor.counters.add("answers told again", 0 if held.answering else 1)
             self._answer(held, front.encode_answer("process", seqid, ready.rows, True), "answered")
-        return api.ClientGone(held.id)
+        return api.ClientDisconnected(held.id)
 
-    def _list(self, notice: notices.Notice) -> None:
+    def _list(self, notice: discovery.EndpointListUpdate) -> None:
         """Takes what a list says anew. A long one is told to the module in slices, a round each, so that
         answers and timers are not held up; what is withdrawn comes first."""
         began = self._clock.now()
@@ -429,30 +436,34 @@
         self._endpoints.apply(differing)
         self.supervisor.counters.observe("list applied, us", self._clock.now() - began)
         latest = {each.engine.id: each for each in (*self._list_slices, *differing)}
-        withdrawn_first = sorted(latest.values(), key=lambda each: each.engine.state is api.State.READY)
+        withdrawn_first = sorted(
+            latest.values(), key=lambda each: each.engine.status is api.EndpointStatus.READY
+        )
         self._list_slices = deque(withdrawn_first)
         self.supervisor.counters.peak("listed endpoints", len(self._endpoints))
         self.supervisor.counters.add("list entries changed", len(differing))
         self.listed = True
 
-    def _next_slice(self) -> api.EngineNews | None:
+    def _next_slice(self) -> api.EndpointListReceived | None:
         if not self._list_slices:
             return None
         count = min(LIST_SLICE, len(self._list_slices))
         entries = tuple(self._list_slices.popleft().engine for _ in range(count))
-        return api.EngineNews(api.ListKind.CHANGES, entries)
+        return api.EndpointListReceived(api.EndpointListKind.DELTA, entries)
 
     def look_after(self) -> None:
         """Now and then: what is overdue, idle or retired."""
         now = self._clock.now()
         for taken in self._by_taken:
             if now > taken.ends_by:
-                self.post(Overdue(taken))
+                self.post(RequestOverdue(taken))
         self._budget.trim(now)
         self._endpoints.tidy(now)
 
-    def _describe(self, answer: asyncio.Future[View]) -> None:
-        believed = next((a for a in self._tell(api.Asked()) if isinstance(a, api.Believed)), None)
+    def _describe(self, answer: asyncio.Future[OperatorView]) -> None:
+        believed = next(
+            (a for a in self._tell(api.SnapshotRequested()) if isinstance(a, api.GatewaySnapshot)), None
+        )
         if believed is None or answer.done():
             return
         commands = []
@@ -463,15 +474,17 @@
             age = self._now - (taken.ends_by - taken.fields.time_left)
             left = taken.ends_by - self._now
             commands.append(
-                OpenCommand(
+                OpenRequestView(
                     held.id, taken.fields.call, profile, taken.group, age, left, len(held.sends), engines
                 )
             )
         addresses = self._endpoints.addresses()
-        answer.set_result(View(self._now, believed, tuple(commands), addresses, self._deployment.kinds))
+        answer.set_result(
+            OperatorView(self._now, believed, tuple(commands), addresses, self._deployment.kinds)
+        )
 
-    def _new_actor(self, engine: api.EngineId, endpoint: Endpoint) -> EngineActor:
-        return EngineActor(
+    def _new_actor(self, engine: api.EndpointId, endpoint: Address) -> EndpointActor:
+        return EndpointActor(
             engine,
             endpoint,
             self._budget,
@@ -480,12 +493,12 @@
             self._clock,
             self.post,
             self.supervisor,
-            self._started.allowed.copies,
+            self._started.capabilities.hedging,
         )
 
     # The module
 
-    def _new_module(self) -> Module:
+    def _new_module(self) -> DecisionModule:
         module = Gateway()
         return self._beside(module) if self._beside else module
 
@@ -511,7 +524,7 @@
         self._module = self._new_module()
         self._timers.clear()
         listed = tuple(listed.engine for listed in self._endpoints.listed.values())
-        news = api.EngineNews(api.ListKind.FULL, listed)
+        news = api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, listed)
         events = (self._started, news, self._stopping) if self._stopping else (self._started, news)
         return [action for event in events for action in self._module.handle(self._now, event)]
 
@@ -524,53 +537,53 @@
 
     def _act(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.StartAttempt():
                 self._send(action)
-            case api.Cancel(command, send):
+            case api.CancelAttempt(command, send):
                 if held := self._held.get(command):
                     self._cancel(held, send)
-            case api.Resources(command, _, priority):
+            case api.SetResources(command, _, priority):
                 if held := self._held.get(command):
                     self._set_priority(held, priority)
-            case api.Shed(command, come_back_after):
+            case api.RejectRequest(command, come_back_after):
                 if held := self._owed(command):
                     self._note_refusal(held, action.reason)
                     self._answer(held, front.encode_shed(held.taken.seqid, come_back_after), "shed")
-            case api.Fail(command):
+            case api.FailRequest(command):
                 if held := self._owed(command):
                     self._note_refusal(held, action.reason)
                     self._answer(held, front.encode_failure(held.taken.seqid, "not answered"), "failed")
-            case api.Wake(at, token):
+            case api.SetTimer(at, token):
                 heapq.heappush(self._timers, (at, token))
             case _:
                 self.supervisor.invariants.hold(f"{type(action).__name__} is never asked for here", False)
 
-    def _owed(self, command: int) -> Held | None:
+    def _owed(self, command: int) -> OpenRequest | None:
         """The command, where an answer is still owed: the client may have left a moment ago."""
         held = self._held.get(command)
         return held if held is not None and held.open else None
 
-    def _send(self, action: api.Send) -> None:
-        held = self._held.get(action.command)
+    def _send(self, action: api.StartAttempt) -> None:
+        held = self._held.get(action.request_id)
         if held is None:  # it left, or the module began anew, in this very round
             return
-        number, actor = len(held.sends), self._endpoints.actor(action.engine)
+        number, actor = len(held.sends), self._endpoints.actor(action.endpoint_id)
         held.sends.append(actor)
         held.out.add(number)
-        usable = held.open and number < self._started.allowed.sends
+        usable = held.open and number < self._started.capabilities.max_attempts
         if actor is None or not usable:
             held.sends[number] = None
-            self.post(SendEnded(held.id, number, action.engine, Outcome.MOOT, 0))
+            self.post(AttemptFinished(held.id, number, action.endpoint_id, Outcome.MOOT, 0))
             return
         actor.attempts_out, actor.used_at = actor.attempts_out + 1, self._now
         taken = held.taken
-        ends_at = min(self._now + action.time_out, taken.ends_by) if action.time_out else taken.ends_by
+        ends_at = min(self._now + action.timeout, taken.ends_by) if action.timeout else taken.ends_by
         profile = self._deployment.profiles[taken.fields.profile]
         self.supervisor.counters.add(f"sent {profile}")
         if number:
             before = held.last_outcome.name.lower() if held.last_outcome is not None else "still out"
             self.supervisor.counters.add(f"sent again after {before}")
-        start = StartSend(
+        start = RunAttempt(
             command=held.id,
             number=number,
             at=self._now,
@@ -583,29 +596,31 @@
             owed=taken.owed,
         )
         if self.gate is not None and held.behind:
-            self.gate.post(Departs(start, actor, self._endpoints.listed[action.engine].engine, taken))
+            self.gate.post(
+                AttemptReady(start, actor, self._endpoints.listed[action.endpoint_id].engine, taken)
+            )
         else:
             actor.post(start)
 
-    def _pass(self, held: Held, actor: EngineActor, message: CancelSend | SetPriority) -> None:
+    def _pass(self, held: OpenRequest, actor: EndpointActor, message: AbortAttempt | ChangePriority) -> None:
         if self.gate is not None and held.behind:
-            self.gate.post(Passing(actor, message))
+            self.gate.post(AttemptControl(actor, message))
         else:
             actor.post(message)
 
-    def _cancel(self, held: Held, number: int) -> None:
+    def _cancel(self, held: OpenRequest, number: int) -> None:
         if number in held.out and (actor := held.sends[number]) is not None:
-            self._pass(held, actor, CancelSend(held.id, number))
+            self._pass(held, actor, AbortAttempt(held.id, number))
 
-    def _set_priority(self, held: Held, priority: int) -> None:
+    def _set_priority(self, held: OpenRequest, priority: int) -> None:
         held.priority = priority
         for number in held.out:
             if (actor := held.sends[number]) is not None:
-                self._pass(held, actor, SetPriority(held.id, number, priority))
+                self._pass(held, actor, ChangePriority(held.id, number, priority))
 
     # Endings
 
-    def _note_refusal(self, held: Held, reason: api.Reason) -> None:
+    def _note_refusal(self, held: OpenRequest, reason: api.RejectionReason) -> None:
         """Why a request gets no result: counted, and said by its id."""
         counters, taken = self.supervisor.counters, held.taken
         counters.add(f"no result: {reason.value}")
@@ -620,23 +635,23 @@
             reason=reason.name.lower(),
         )
 
-    def _answer(self, held: Held, frame: bytes, how: str) -> None:
+    def _answer(self, held: OpenRequest, frame: bytes, how: str) -> None:
         profile = self._deployment.profiles[held.taken.fields.profile]
         self.supervisor.counters.add(f"{how} {profile}")
-        held.taken.client.post(Reply(frame, held.taken))
+        held.taken.client.post(ClientReply(frame, held.taken))
         self._close(held)
 
-    def _close(self, held: Held) -> None:
+    def _close(self, held: OpenRequest) -> None:
         held.open, held.taken.over = False, True
         if self.gate is not None and held.behind:
-            self.gate.post(Closed(held.id, held.ran, frozenset(held.out), held.taken.fields.time_left))
+            self.gate.post(RequestClosed(held.id, held.ran, frozenset(held.out), held.taken.fields.time_left))
         self._bytes -= len(held.taken.statement)
         held.taken.statement = b""
         self._by_taken.pop(held.taken, None)
         self._calls.discard(held.taken.fields.call)
         self._forget(held)
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, held: OpenRequest) -> None:
         if not held.open and not held.out:
             self._held.pop(held.id, None)
 
@@ -653,4 +668,4 @@
 
     def _ring(self) -> None:
         self._armed = None
-        self.post(Ring())
+        self.post(TimerDue())
