--- a/lotusstream/net/engine.py
+++ b/lotusstream/net/endpoint.py
@@ -14,14 +14,14 @@
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import (
     US,
-    CallBroken,
-    CallSilent,
-    CannotConnect,
+    Address,
+    CallBrokenError,
+    CallSilentError,
+    ConnectError,
     Connection,
-    Endpoint,
-    NoDescriptor,
-    Pool,
-    Refused,
+    ConnectionPool,
+    ConnectionRefusedByPeerError,
+    NoDescriptorError,
     SocketBudget,
 )
 from lotusstream.protocol import http
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartSend:
+class RunAttempt:
     command: int
     number: int
     at: int
@@ -44,20 +44,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelSend:
+class AbortAttempt:
     command: int
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class SetPriority:
+class ChangePriority:
     command: int
     number: int
     priority: int
 
 
 @dataclass(frozen=True, slots=True)
-class ListedAs:
+class ListingChanged:
     """What the list says of this engine now."""
 
     ready: bool
@@ -65,10 +65,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendEnded:
+class AttemptFinished:
     command: int
     number: int
-    engine: api.EngineId
+    engine: api.EndpointId
     outcome: Outcome
     latency: int
     work: int | None = None
@@ -77,14 +77,14 @@
     heard: bool = False
 
 
-EngineMessage = StartSend | CancelSend | SetPriority | ListedAs
-Report = Callable[[SendEnded | api.Noted], None]
+EndpointMessage = RunAttempt | AbortAttempt | ChangePriority | ListingChanged
+ReportOutcome = Callable[[AttemptFinished | api.AttemptProgressed], None]
 
 
-class Running:
+class RunningAttempt:
     """A send from its start until the connection that asks after it is free again."""
 
-    def __init__(self, start: StartSend, incarnation: int) -> None:
+    def __init__(self, start: RunAttempt, incarnation: int) -> None:
         self.start = start
         self.incarnation = incarnation  # of the engine that it was meant for
         self.connection: Connection | None = None  # its own, between two calls
@@ -96,16 +96,16 @@
         self.task: asyncio.Task[None] | None = None
 
 
-class EngineActor(Actor[EngineMessage]):
+class EndpointActor(Actor[EndpointMessage]):
     def __init__(
         self,
-        engine: api.EngineId,
-        endpoint: Endpoint,
+        engine: api.EndpointId,
+        endpoint: Address,
         budget: SocketBudget,
         connect_timeout: int,
         idle_timeout: int,
         clock: Clock,
-        report: Report,
+        report: ReportOutcome,
         supervisor: Supervisor,
         copies: bool = True,
     ) -> None:
@@ -115,30 +115,32 @@
         self.attempts_out, self.used_at = 0, clock.now()  # counted by who starts them
         self._incarnation = 0  # counts the engine's restarts, as far as they are listed
         times = connect_timeout, idle_timeout
-        self._pool = Pool(endpoint, budget, *times, http.PAGE_BYTES, clock, rest=http.ECHO)
+        self._pool = ConnectionPool(endpoint, budget, *times, http.PAGE_BYTES, clock, rest=http.ECHO)
         self._clock, self._report, self._copies = clock, report, copies
-        self._running: dict[tuple[int, int], Running] = {}
+        self._running: dict[tuple[int, int], RunningAttempt] = {}
 
-    async def receive(self, message: EngineMessage) -> None:
+    async def receive(self, message: EndpointMessage) -> None:
         match message:
-            case StartSend():
-                running = self._running[message.command, message.number] = Running(message, self._incarnation)
+            case RunAttempt():
+                running = self._running[message.command, message.number] = RunningAttempt(
+                    message, self._incarnation
+                )
                 running.task = self.supervisor.start(f"{self.name} send", self._run(running))
-            case CancelSend(command, number):
+            case AbortAttempt(command, number):
                 if found := self._running.get((command, number)):
                     self._cancel(found)
-            case SetPriority(command, number, priority):
+            case ChangePriority(command, number, priority):
                 if (found := self._running.get((command, number))) and not found.ended:
                     found.priority = priority
                     if found.posted:
                         self.supervisor.start(f"{self.name} priority", self._set_priority(found))
-            case ListedAs(ready, restarted):
+            case ListingChanged(ready, restarted):
                 self.ready = ready
                 self._incarnation += restarted
                 if restarted or not ready:
                     self._pool.clear()
 
-    def _say(self, kind: str, text: str, running: Running) -> None:
+    def _say(self, kind: str, text: str, running: RunningAttempt) -> None:
         self.supervisor.log.say(
             kind,
             f"{self.name}: {text}",
@@ -154,7 +156,7 @@
 
     # A send
 
-    async def _run(self, running: Running) -> None:
+    async def _run(self, running: RunningAttempt) -> None:
         start = running.start
         try:
             async with asyncio.timeout(max(0, start.ends_at - self._clock.now()) / US):
@@ -170,15 +172,15 @@
             self._end(running, Outcome.RESET if running.posted else Outcome.MOOT)
             self._running.pop((start.command, start.number), None)
 
-    async def _exchange(self, running: Running) -> None:
+    async def _exchange(self, running: RunningAttempt) -> None:
         start = running.start
         connection: Connection | None = None
         try:
             connection = await self._pool.get()
-        except NoDescriptor:
+        except NoDescriptorError:
             self.supervisor.counters.add("sends without a descriptor")
             return self._end(running, Outcome.MOOT)
-        except CannotConnect:
+        except ConnectError:
             return self._end(running, Outcome.CONNECT_FAILED)
         if running.cancelled or not self._may_leave(running):  # since it was started: nothing new goes out
             connection.close()
@@ -201,13 +203,15 @@
             if running.ended or news.outcome is not None:
                 break
             if news.note is not None:
-                self._report(api.Noted(start.command, start.number, self.engine, news.note, news.amount))
+                self._report(
+                    api.AttemptProgressed(start.command, start.number, self.engine, news.note, news.amount)
+                )
             request = news_call
         if news.outcome is Outcome.ANSWERED and not running.ended:
             return await self._collect(running, news)
         return self._end(running, news.outcome or Outcome.ERROR)
 
-    def _may_leave(self, running: Running) -> bool:
+    def _may_leave(self, running: RunningAttempt) -> bool:
         """Looked at last before the first byte, since a connection may have been long in coming up. Guards an
         engine that drains, or that has restarted cold under the same address, and clients that have gone:
         also where the module may not cancel, for what never left is nothing to cancel. And requests whose
@@ -218,7 +222,7 @@
 
     async def _ask(
         self,
-        running: Running,
+        running: RunningAttempt,
         request: bytes,
         again: bytes,
         read: Callable[[http.Answer], T | None],
@@ -251,16 +255,16 @@
                 self.supervisor.counters.add("answers spoilt")
                 self._say("answer spoilt", f"status {answer.status}", running)
                 connection.close()
-            except CannotConnect as error:
+            except ConnectError as error:
                 running.heard = False
-                if isinstance(error, Refused):
+                if isinstance(error, ConnectionRefusedByPeerError):
                     return await self._lost(running)
                 self.supervisor.counters.add("calls not connected")
-            except CallBroken as error:
+            except CallBrokenError as error:
                 running.heard = False
                 self.supervisor.counters.add("calls broken")
                 self._say("call broken", str(error), running)
-                if isinstance(error, CallSilent):
+                if isinstance(error, CallSilentError):
                     usable = self._clock.now()
             if self._clock.now() - usable >= http.FORGOTTEN_AFTER and not running.ended:
                 if self._copies:
@@ -269,7 +273,7 @@
             tries, request = tries + 1, again
         return Outcome.RESET
 
-    async def _lost(self, running: Running) -> Outcome:
+    async def _lost(self, running: RunningAttempt) -> Outcome:
         """No end of the query will be heard. Where two sends of a command may not be out at once it is given
         up first: an engine that refuses a connection may live, and only have too many, and a query is out
         until its engine has been told, has not been asked for it for long enough, or has restarted. Costs up
@@ -282,7 +286,7 @@
             await asyncio.sleep(min(left, pause) / US)
         return Outcome.RESET
 
-    async def _collect(self, running: Running, news: http.QueryNews) -> None:
+    async def _collect(self, running: RunningAttempt, news: http.QueryNews) -> None:
         """Answered means all pages: a page that is lost is an error of the send, which has run."""
         rows = bytearray(news.rows)
         for number in range(1, news.pages):
@@ -300,7 +304,7 @@
 
     def _end(
         self,
-        running: Running,
+        running: RunningAttempt,
         outcome: Outcome,
         news: http.QueryNews | None = None,
         rows: bytes | None = None,
@@ -312,11 +316,11 @@
             outcome = Outcome.CANCELLED
         start, work, memory = running.start, news.work if news else None, news.memory_mb if news else None
         name, latency = (start.command, start.number, self.engine), self._clock.now() - start.at
-        self._report(SendEnded(*name, outcome, latency, work, memory, rows, running.heard))
+        self._report(AttemptFinished(*name, outcome, latency, work, memory, rows, running.heard))
 
     # Ending and changing sends: on connections of their own, never behind a call that waits for news
 
-    def _cancel(self, running: Running) -> None:
+    def _cancel(self, running: RunningAttempt) -> None:
         if running.cancelled or running.ended:
             return
         running.cancelled = True
@@ -327,10 +331,10 @@
             self._end(running, Outcome.MOOT)
             self._running.pop((running.start.command, running.start.number), None)
 
-    def _farewell(self, running: Running) -> bytes:
+    def _farewell(self, running: RunningAttempt) -> bytes:
         return http.request("DELETE", f"/x/{running.start.call}", self._pool.host, {})
 
-    async def _delete(self, running: Running) -> None:
+    async def _delete(self, running: RunningAttempt) -> None:
         told = False
         try:
             told = await self._tell(self._farewell(running))
@@ -338,7 +342,7 @@
             if told or self._copies:  # otherwise the one that asks after it goes on until it is
                 self._end(running, Outcome.CANCELLED)
 
-    async def _set_priority(self, running: Running) -> None:
+    async def _set_priority(self, running: RunningAttempt) -> None:
         body = str(running.priority).encode()
         await self._tell(http.request("PUT", f"/x/{running.start.call}", self._pool.host, {}, body))
 
@@ -348,8 +352,8 @@
             connection = await self._pool.get(ends_things=True, fresh=not self._copies)
             await self._pool.call(connection, request, http.PATIENCE)
             return True
-        except CannotConnect:
+        except ConnectError:
             self.supervisor.counters.add("calls not connected")
-        except CallBroken:
+        except CallBrokenError:
             self.supervisor.counters.add("calls broken")
         return False
--- a/lotusstream/net/endpoints.py
+++ b/lotusstream/net/endpoint_registry.py
@@ -10,27 +10,27 @@
 from dataclasses import replace
 
 from lotusstream import interface as api
-from lotusstream.net.connection import Endpoint
-from lotusstream.net.engine import EngineActor, ListedAs
-from lotusstream.protocol.notices import Listed, Notice
+from lotusstream.net.connection import Address
+from lotusstream.net.endpoint import EndpointActor, ListingChanged
+from lotusstream.protocol.discovery import EndpointListUpdate, ListedEndpoint
 
 TIDIED_AT_ONCE = 8  # actors looked at in one go
 
 
-class Endpoints:
+class EndpointRegistry:
     """`make`: an actor for an endpoint at its address. `idle_timeout`: after which an actor ends,
     microseconds."""
 
-    def __init__(self, make: Callable[[api.EngineId, Endpoint], EngineActor], idle_timeout: int) -> None:
-        self.listed: dict[api.EngineId, Listed] = {}
+    def __init__(self, make: Callable[[api.EndpointId, Address], EndpointActor], idle_timeout: int) -> None:
+        self.listed: dict[api.EndpointId, ListedEndpoint] = {}
         self._make, self._idle_timeout = make, idle_timeout
-        self._actors: dict[api.EngineId, EngineActor] = {}  # by their last use, the longest ago first
-        self._retired: dict[EngineActor, None] = {}  # of endpoints that are gone or have moved
+        self._actors: dict[api.EndpointId, EndpointActor] = {}  # by their last use, the longest ago first
+        self._retired: dict[EndpointActor, None] = {}  # of endpoints that are gone or have moved
 
     def __len__(self) -> int:
         return len(self.listed)
 
-    def differing(self, notice: Notice) -> list[Listed]:
+    def differing(self, notice: EndpointListUpdate) -> list[ListedEndpoint]:
         """What a list says anew, withdrawn endpoints first. An endpoint that a whole list leaves out is
         gone."""
         changed = {each.engine.id: each for each in notice.listed if self.listed.get(each.engine.id) != each}
@@ -39,16 +39,16 @@
             for engine, before in self.listed.items():
                 if engine not in named:
                     changed[engine] = replace(before, engine=_gone(before.engine))
-        return sorted(changed.values(), key=lambda each: each.engine.state is api.State.READY)
+        return sorted(changed.values(), key=lambda each: each.engine.status is api.EndpointStatus.READY)
 
-    def apply(self, listed: Iterable[Listed]) -> None:
+    def apply(self, listed: Iterable[ListedEndpoint]) -> None:
         for each in listed:
             self._apply(each)
 
-    def _apply(self, listed: Listed) -> None:
+    def _apply(self, listed: ListedEndpoint) -> None:
         engine, entry = listed.engine.id, listed.engine
         before = self.listed.get(engine)
-        if entry.state is api.State.GONE:
+        if entry.status is api.EndpointStatus.REMOVED:
             self.listed.pop(engine, None)
         else:
             self.listed[engine] = listed
@@ -56,12 +56,12 @@
         if actor is None:
             return
         moved = listed.endpoint is not None and listed.endpoint != actor.endpoint
-        restarted = moved or (before is not None and before.engine.started != entry.started)
-        actor.post(ListedAs(entry.state is api.State.READY and not moved, restarted))
-        if moved or entry.state is api.State.GONE:
+        restarted = moved or (before is not None and before.engine.started_at != entry.started_at)
+        actor.post(ListingChanged(entry.status is api.EndpointStatus.READY and not moved, restarted))
+        if moved or entry.status is api.EndpointStatus.REMOVED:
             self._retired[self._actors.pop(engine)] = None
 
-    def actor(self, engine: api.EngineId) -> EngineActor | None:
+    def actor(self, engine: api.EndpointId) -> EndpointActor | None:
         """For an attempt that is to begin; None where the endpoint is not listed or has no address."""
         listed = self.listed.get(engine)
         actor = self._actors.pop(engine, None)
@@ -69,12 +69,12 @@
             if listed is None or listed.endpoint is None:
                 return None
             actor = self._make(engine, listed.endpoint)
-            actor.ready = listed.engine.state is api.State.READY
+            actor.ready = listed.engine.status is api.EndpointStatus.READY
             actor.start()
         self._actors[engine] = actor
         return actor
 
-    def addresses(self) -> dict[api.EngineId, str]:
+    def addresses(self) -> dict[api.EndpointId, str]:
         return {
             engine: f"{listed.endpoint[0]}:{listed.endpoint[1]}"
             for engine, listed in self.listed.items()
@@ -97,5 +97,5 @@
                 actor.close()
 
 
-def _gone(entry: api.Engine) -> api.Engine:
-    return replace(entry, state=api.State.GONE)
+def _gone(entry: api.EndpointEntry) -> api.EndpointEntry:
+    return replace(entry, status=api.EndpointStatus.REMOVED)
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -9,7 +9,7 @@
 
 from lotusstream.deployment import Deployment
 from lotusstream.leases import holder as hold
-from lotusstream.leases.desk import FREED, Asked, Changed, LookedUp
+from lotusstream.leases.service import FREED, Asked, Changed, LookedUp
 from lotusstream.leases.table import Put, TakeBack
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
@@ -17,19 +17,19 @@
 from lotusstream.net.connection import US
 from lotusstream.net.control import Refused
 from lotusstream.net.decider import Decider
-from lotusstream.net.keeper import KeeperActor, KeeperTerms, open_store
-from lotusstream.net.peers import Answer, PeerLink, PeerManners, PeerServer
-from lotusstream.net.tasks import MAKERS, Agree, Around, Makers, Task
+from lotusstream.net.peers import Answer, PeerLimits, PeerLink, PeerServer
+from lotusstream.net.raft_node import RaftActor, RaftActorOptions, open_store
+from lotusstream.net.tasks import MAKERS, Agree, FleetTask, Makers, TaskContext
 from lotusstream.operator.fleet import COPIES, EXAMINE, FleetText, KeeperAddress
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
 from lotusstream.quorum.messages import Envelope
-from lotusstream.record.log import DiskTrouble
+from lotusstream.wal.log import DiskError
 
 if TYPE_CHECKING:
+    from lotusstream.net.commitments import CommitmentActor
     from lotusstream.net.copies import CopiesActor, ManagerTask
-    from lotusstream.net.examine import HearsayActor, NewsDesk
-    from lotusstream.net.promises import Promises
+    from lotusstream.net.health_checks import HealthReportService, PeerReportsActor
 
 ANSWER_WITHIN = 3.0  # seconds, of an operator's question
 
@@ -49,8 +49,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self.since: dict[str, int] = {}
         self.token: dict[str, int] = {}
-        self.tasks: dict[str, Task] = {
-            task: makers[task](Around(name, self._may_act(task), decider.post, supervisor, agree))
+        self.tasks: dict[str, FleetTask] = {
+            task: makers[task](TaskContext(name, self._may_act(task), decider.post, supervisor, agree))
             for task in told.tasks
         }
 
@@ -110,7 +110,7 @@
         self._told, self._name, self._supervisor = told, name, supervisor
         self._asked: dict[int, asyncio.Future[wire.Told]] = {}
         self._number = 0
-        manners = PeerManners(told.group, name, told.patience, told.callers)
+        manners = PeerLimits(told.group, name, told.patience, told.callers)
         idle = 3 * told.leases.length
         others: tuple[KeeperAddress, ...] = (*told.keepers, *told.holders)
         self.links = {
@@ -118,7 +118,7 @@
             for each in others
             if each.name != name
         }
-        self.keeper: KeeperActor | None = None
+        self.keeper: RaftActor | None = None
         self._server: PeerServer | None = None
         self.copies: CopiesActor | None = None
         self._manager: ManagerTask | None = None
@@ -129,27 +129,29 @@
             assert told.store is not None
             try:
                 store = open_store(told.store)
-            except DiskTrouble as error:
+            except DiskError as error:
                 store = None
                 supervisor.log.say("quorum", f"this keeper stands still: {error}", "error")
             named = tuple(each.name for each in told.keepers)
-            terms = KeeperTerms(name, told.store, named, told.pace, told.leases, seed)
-            self.keeper = KeeperActor(terms, store, self._carry, supervisor)
+            terms = RaftActorOptions(name, told.store, named, told.pace, told.leases, seed)
+            self.keeper = RaftActor(terms, store, self._carry, supervisor)
         self.brings: dict[str, tuple[int, str]] = {}  # by key: version and value that this gateway knows
         makers = dict(MAKERS)
         if told.copies is not None:
             makers[COPIES] = self._make_manager
-        self._desk: NewsDesk | None = None
-        self.hearsay: HearsayActor | None = None
+        self._desk: HealthReportService | None = None
+        self.hearsay: PeerReportsActor | None = None
         if told.examine is not None:
-            from lotusstream.net.examine import ExamineTask, HearsayActor, NewsDesk
+            from lotusstream.net.health_checks import HealthCheckTask, HealthReportService, PeerReportsActor
 
             examine, wait = told.examine, deployment.connect_timeout
             keepers = tuple(each.name for each in told.keepers)
-            makers[EXAMINE] = lambda around: ExamineTask(around, examine, wait, decider, keepers, self._tell)
-            self.hearsay = HearsayActor(name, keepers, examine, self._tell, decider, supervisor)
+            makers[EXAMINE] = lambda around: HealthCheckTask(
+                around, examine, wait, decider, keepers, self._tell
+            )
+            self.hearsay = PeerReportsActor(name, keepers, examine, self._tell, decider, supervisor)
             if self.keeper is not None:
-                self._desk = NewsDesk(examine, self._newest_examiner)
+                self._desk = HealthReportService(examine, self._newest_examiner)
         if (holds := told.holder(name)) is not None and told.copies is not None:
             from lotusstream.net.copies import CopiesActor
 
@@ -158,11 +160,11 @@
             self.copies = CopiesActor(
                 name, machine, zone, told.copies, told.store, self._tell, self._look, supervisor
             )
-        self.promises: Promises | None = None
+        self.promises: CommitmentActor | None = None
         if told.remember is not None:
-            from lotusstream.net.promises import Promises
+            from lotusstream.net.commitments import CommitmentActor
 
-            self.promises = Promises(name, told, deployment, decider, clock, self._tell, supervisor)
+            self.promises = CommitmentActor(name, told, deployment, decider, clock, self._tell, supervisor)
             decider.gate = self.promises
         self.holder = HolderActor(name, told, seed, self._ask, self._agree, makers, decider, supervisor)
 
@@ -252,7 +254,7 @@
 
     # Copies
 
-    def _make_manager(self, around: Around) -> Task:
+    def _make_manager(self, around: TaskContext) -> FleetTask:
         from lotusstream.net.copies import ManagerTask
 
         assert self._told.copies is not None
--- a/lotusstream/net/gateway.py
+++ b/lotusstream/net/gateway.py
@@ -17,14 +17,14 @@
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.client import ClientConnection, ClientShare, Unread
 from lotusstream.net.clock import LAG_NOTICED, WATCH_PAUSE, Clock
-from lotusstream.net.configuration import Configuration, UnusableConfiguration
-from lotusstream.net.connection import US, Endpoint, SocketBudget
+from lotusstream.net.configuration import Configuration, ConfigurationError
+from lotusstream.net.connection import US, Address, SocketBudget
 from lotusstream.net.decider import Decider
-from lotusstream.net.engine_list import EngineList, Follow
+from lotusstream.net.discovery import EngineList, FollowList
 from lotusstream.protocol import front
 
 if TYPE_CHECKING:
-    from lotusstream.net.parts import Parts
+    from lotusstream.net.subsystems import Subsystems
     from lotusstream.operator.file import OperatorFile
 
 MS = 1000
@@ -68,16 +68,16 @@
         if self._parts is not None:
             self._parts.tie(self._decider)
 
-    def _parts_of(self, operator: OperatorFile | None) -> Parts | None:
+    def _parts_of(self, operator: OperatorFile | None) -> Subsystems | None:
         """What the operator file asks for; imported only then."""
         if operator is None:
             return None
-        from lotusstream.net.parts import Parts
+        from lotusstream.net.subsystems import Subsystems
 
-        return Parts(operator, self._configuration, self._clock, self.supervisor)
+        return Subsystems(operator, self._configuration, self._clock, self.supervisor)
 
     @property
-    def address(self) -> Endpoint:
+    def address(self) -> Address:
         assert self._listener is not None
         host, port = self._listener.getsockname()
         return host, port
@@ -91,19 +91,19 @@
             listener.listen(1024)
         except OSError as error:
             listener.close()
-            raise UnusableConfiguration(f"listen: {error}") from error
+            raise ConfigurationError(f"listen: {error}") from error
         self._listener = listener
         if self._parts is not None:
             try:
                 self._parts.start()
-            except UnusableConfiguration:
+            except ConfigurationError:
                 listener.close()
                 raise
         self._announce()
         self._decider.start()
         self._list.start()
         self._list.post(self._configuration.known)
-        self._list.post(Follow(self._configuration.board))
+        self._list.post(FollowList(self._configuration.board))
         self._resume_accept(listener)
         self.supervisor.keep("watch", self._watch)
 
@@ -125,12 +125,12 @@
         started = replace(new.deployment.started, seed=now.deployment.started.seed)
         deployment = replace(new.deployment, started=started)
         if replace(new, board=now.board, known=now.known, deployment=deployment) != now:
-            raise UnusableConfiguration("configuration: only the board can change while running")
+            raise ConfigurationError("configuration: only the board can change while running")
         self.supervisor.counters.add("reloads")
         if new.board != now.board:
             self._configuration = replace(now, board=new.board)
             self.supervisor.log.say("reload", f"board at {new.board[0]}:{new.board[1]}")
-            self._list.post(Follow(new.board))
+            self._list.post(FollowList(new.board))
 
     def _good(self) -> bool:
         return self._decider.listed and not self._share.stopping
@@ -208,7 +208,7 @@
         began = self._clock.now()
         longest = max(profile.client_timeout for profile in self._configuration.deployment.started.profiles)
         by = began + min(longest, LONGEST_WAIT) + COME_ON
-        self._decider.post(api.Stopping(by))
+        self._decider.post(api.ShutdownStarted(by))
         while (now := self._clock.now()) < by:
             owed = self._unread.total or self._share.asking() or self._knocks()
             if now >= began + STAY and not owed:
--- a/lotusstream/net/examine.py
+++ b/lotusstream/net/health_checks.py
@@ -9,23 +9,23 @@
 from typing import Any
 
 from lotusstream import interface as api
-from lotusstream.examine import examiner as ex
-from lotusstream.examine import hearsay as hs
-from lotusstream.examine.news import ExamineTerms, News
+from lotusstream.healthcheck import checker as ex
+from lotusstream.healthcheck import peer_reports as hs
+from lotusstream.healthcheck.reports import HealthCheckOptions, HealthReports
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import (
     US,
-    CallBroken,
-    CannotConnect,
+    Address,
+    CallBrokenError,
+    ConnectError,
     Connection,
-    Endpoint,
-    NoDescriptor,
-    Refused,
+    ConnectionRefusedByPeerError,
+    NoDescriptorError,
     SocketBudget,
 )
-from lotusstream.net.decider import Decider, Describe, Tell, View
-from lotusstream.net.tasks import Around
+from lotusstream.net.decider import Decider, OperatorView, SubsystemEvent, ViewRequested
+from lotusstream.net.tasks import TaskContext
 from lotusstream.protocol import http
 from lotusstream.protocol import peers as wire
 
@@ -37,11 +37,11 @@
 Answer = Callable[[wire.AnyFrame], None]
 
 
-class ExamineTask(Actor[ex.Event]):
+class HealthCheckTask(Actor[ex.Event]):
     """Looks at engines under the lease 'examine', and at its token before each look and each word."""
 
     def __init__(
-        self, around: Around, terms: ExamineTerms, connect_timeout: int, decider: Decider,
+        self, around: TaskContext, terms: HealthCheckOptions, connect_timeout: int, decider: Decider,
         keepers: tuple[str, ...], send: Send,
     ) -> None:  # fmt: skip
         super().__init__("examine", around.supervisor)
@@ -49,8 +49,8 @@
         self._decider, self._keepers, self._send = decider, keepers, send
         self._budget = SocketBudget(terms.most)
         self._budget.kept_back = 0
-        self._addresses: dict[api.EngineId, Endpoint] = {}
-        self._examiner: ex.Examiner | None = None
+        self._addresses: dict[api.EndpointId, Address] = {}
+        self._examiner: ex.HealthChecker | None = None
         self._token = 0
         self._work: asyncio.Task[None] | None = None
         self._running = False
@@ -60,7 +60,7 @@
         if not self._running:
             self._running = True
             self.start()
-        self._token, self._examiner = token, ex.Examiner(token, self._terms, clock.boot_clock())
+        self._token, self._examiner = token, ex.HealthChecker(token, self._terms, clock.boot_clock())
         self._work = self.supervisor.start("examine", self._time(self._examiner))
 
     def stop(self, why: str = "") -> None:  # type: ignore[override]
@@ -69,7 +69,7 @@
             self._work.cancel()
             self._work = None
 
-    async def _time(self, examiner: ex.Examiner) -> None:
+    async def _time(self, examiner: ex.HealthChecker) -> None:
         """The list anew every so often, and what is due in between."""
         listed = clock.boot_clock() - self._terms.every
         while True:
@@ -82,15 +82,17 @@
             await asyncio.sleep(max(self._terms.soon // 4, min(pause, self._terms.every)) / US)
 
     async def _list(self) -> None:
-        answer: asyncio.Future[View] = asyncio.get_running_loop().create_future()
-        self._decider.post(Describe(answer))
+        answer: asyncio.Future[OperatorView] = asyncio.get_running_loop().create_future()
+        self._decider.post(ViewRequested(answer))
         async with asyncio.timeout(LIST_WITHIN):
             view = await answer
         addresses = {}
-        for engine in view.believed.engines:
-            if engine.state is api.State.READY and (address := view.addresses.get(engine.engine)):
+        for engine in view.believed.endpoints:
+            if engine.status is api.EndpointStatus.READY and (
+                address := view.addresses.get(engine.endpoint_id)
+            ):
                 host, _, port = address.rpartition(":")
-                addresses[engine.engine] = (host, int(port))
+                addresses[engine.endpoint_id] = (host, int(port))
         self._addresses = addresses
         self.post(ex.Listed(tuple(addresses)))
 
@@ -106,7 +108,7 @@
                     for keeper in self._keepers:
                         self._send(keeper, wire.Tidings(news))
 
-    async def _look(self, engine: api.EngineId, endpoint: Endpoint) -> None:
+    async def _look(self, engine: api.EndpointId, endpoint: Address) -> None:
         """Any answer will do: it says that the process is there and talks, and no more."""
         host = f"{endpoint[0]}:{endpoint[1]}"
         request = http.request("GET", f"/x/{NOBODYS}/0", host, {})
@@ -121,24 +123,24 @@
                 answers = True
             finally:
                 connection.close()
-        except Refused:
+        except ConnectionRefusedByPeerError:
             sure = True
-        except NoDescriptor:
+        except NoDescriptorError:
             return  # it is looked at again
-        except (CannotConnect, CallBroken):
+        except (ConnectError, CallBrokenError):
             pass
         if not answers:
             self.supervisor.counters.add("engines examined without an answer")
         self.post(ex.Found(engine, answers, sure))
 
 
-class NewsDesk:
+class HealthReportService:
     """A keeper's part: the newest news, and who wants it. Nothing under a token older than the newest seen,
     here or in the table of leases."""
 
-    def __init__(self, terms: ExamineTerms, newest_token: Callable[[], int]) -> None:
+    def __init__(self, terms: HealthCheckOptions, newest_token: Callable[[], int]) -> None:
         self._terms, self._newest_token = terms, newest_token
-        self._news: News | None = None
+        self._news: HealthReports | None = None
         self._came = 0
         self._callers: dict[str, tuple[Answer, int]] = {}
 
@@ -151,7 +153,7 @@
         if self._news is not None and now - self._came < self._terms.old:
             answer(wire.Tidings(self._news, now - self._came))
 
-    def take(self, news: News) -> None:
+    def take(self, news: HealthReports) -> None:
         if news.token < self._newest_token() or (self._news and news.order <= self._news.order):
             return
         now = clock.boot_clock()
@@ -161,16 +163,16 @@
             answer(wire.Tidings(news))
 
 
-class HearsayActor(Actor[hs.Event]):
+class PeerReportsActor(Actor[hs.Event]):
     """What this gateway hears; told to its decision module as events."""
 
     def __init__(
-        self, name: str, keepers: tuple[str, ...], terms: ExamineTerms, send: Send, decider: Decider,
+        self, name: str, keepers: tuple[str, ...], terms: HealthCheckOptions, send: Send, decider: Decider,
         supervisor: Supervisor,
     ) -> None:  # fmt: skip
         super().__init__("hearsay", supervisor)
         self._terms, self._send, self._decider = terms, send, decider
-        self.hearsay = hs.Hearsay(name, keepers, terms, clock.boot_clock())
+        self.hearsay = hs.PeerReports(name, keepers, terms, clock.boot_clock())
 
     def start(self) -> None:
         super().start()
@@ -189,11 +191,11 @@
             match action:
                 case hs.Subscribe(keeper):
                     self._send(keeper, wire.Hear(2 * self._terms.renewed))
-                case api.Hearsay(engine, answers):
+                case api.PeerHealthReported(engine, answers):
                     word = "answers again" if answers else "does not answer"
                     text = f"{engine.decode('latin-1')} {word}, as is heard"
                     self.supervisor.log.say("hearsay", text, "debug", engine=engine.decode("latin-1"))
-                    self._decider.post(Tell(action))
+                    self._decider.post(SubsystemEvent(action))
 
     def view(self) -> dict[str, Any]:
         """For people."""
--- a/lotusstream/net/moves.py
+++ b/lotusstream/net/moves.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from lotusstream.cells.keeper import NotWritten, Written, moves_in
+from lotusstream.cells.controller import NotWritten, Written, moves_in
 from lotusstream.cells.move import Move, Step
 from lotusstream.net.actor import Actor, Supervisor
-from lotusstream.record.log import CorruptLog, DiskTrouble, Log
+from lotusstream.wal.log import CorruptLogError, DiskError, Log
 
 _STEPS: msgspec.json.Decoder[Move] = msgspec.json.Decoder(Move)
 
@@ -22,7 +22,7 @@
         records = [_STEPS.decode(payload) for payload in log.payloads]
     except msgspec.MsgspecError as error:
         hint = "move it away to begin anew without what it held"
-        raise CorruptLog(path, f"a record can't be read: {error}", hint, 0) from error
+        raise CorruptLogError(path, f"a record can't be read: {error}", hint, 0) from error
     kept = [move for move in moves_in(records, now).values() if move.step is Step.DONE]
     if len(kept) < len(records):
         log.rewrite(_encoded(kept))
@@ -50,7 +50,7 @@
             return
         try:
             await asyncio.to_thread(self._log.append, *_encoded([message]))
-        except DiskTrouble as error:
+        except DiskError as error:
             self.supervisor.counters.add("steps of moves not written")
             self.supervisor.log.say("moves", str(error), "error", tenant=message.tenant)
             self._tell(NotWritten(message, str(error)))
--- a/lotusstream/net/operated.py
+++ b/lotusstream/net/operator_service.py
@@ -10,16 +10,16 @@
 
 from lotusstream import __version__
 from lotusstream import interface as api
-from lotusstream.cells.keeper import AbortMove, CellKeeper, MoveTenant, NewPlan
+from lotusstream.cells.controller import AbortMove, CellController, MoveTenant, NewPlan
 from lotusstream.cells.move import NO_WAY_BACK
-from lotusstream.levels.gauge import Health
+from lotusstream.levels.controller import Hold, LevelController, NewLadder, Release
 from lotusstream.levels.history import Cause, Change
-from lotusstream.levels.keeper import Hold, LevelKeeper, NewLadder, Release
+from lotusstream.levels.signal_evaluator import Health
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
-from lotusstream.net.control import ControlServer, Manners, Refused
-from lotusstream.net.decider import Decider, Describe, Nudge, Tell, View
+from lotusstream.net.control import ControlLimits, ControlServer, Refused
+from lotusstream.net.decider import Decider, OperatorView, RoundDue, SubsystemEvent, ViewRequested
 from lotusstream.observe.own import OwnUse, OwnUseReader
 from lotusstream.operator.file import OperatorFile
 from lotusstream.protocol import control as wire
@@ -33,15 +33,15 @@
 ANSWER_WITHIN = 5.0  # seconds for the decider to answer
 
 
-class Operated:
+class OperatorService:
     """Posts the gateway's health to the keeper, logs changes of level, and answers control requests."""
 
     def __init__(
         self,
         file: OperatorFile,
         given: Configuration,
-        keeper: LevelKeeper | None,
-        cells: CellKeeper | None,
+        keeper: LevelController | None,
+        cells: CellController | None,
         fleet: Fleet | None,
         decider: Decider,
         own: OwnUseReader,
@@ -70,10 +70,10 @@
             await asyncio.sleep(pause)
             stall = int((time.monotonic() - before - pause) * US)
             if keeper is None:
-                self._decider.post(Nudge())
+                self._decider.post(RoundDue())
                 continue
             use = self._use()
-            self._decider.post(Tell(Health(use.core, use.memory, use.descriptors, max(0, stall))))
+            self._decider.post(SubsystemEvent(Health(use.core, use.memory, use.descriptors, max(0, stall))))
             self._log_changes(keeper)
 
     def _use(self) -> OwnUse:
@@ -82,7 +82,7 @@
             self._used = (time.monotonic(), self._own.read())
         return self._used[1]
 
-    def _log_changes(self, keeper: LevelKeeper) -> None:
+    def _log_changes(self, keeper: LevelController) -> None:
         new = keeper.history.count - self._logged
         self._logged = keeper.history.count
         for change in list(keeper.history)[len(keeper.history) - min(new, len(keeper.history)) :]:
@@ -107,10 +107,10 @@
     def reload(self, new: OperatorFile) -> None:
         self.file = new
         if new.ladder is not None and self._keeper is not None:
-            self._decider.post(Tell(NewLadder(new.ladder)))
+            self._decider.post(SubsystemEvent(NewLadder(new.ladder)))
         if new.cells is not None and self._cells is not None:
             deployment = self._given.deployment
-            self._decider.post(Tell(NewPlan(new.cells.plan(deployment.zones, deployment.kinds))))
+            self._decider.post(SubsystemEvent(NewPlan(new.cells.plan(deployment.zones, deployment.kinds))))
 
     # Control
 
@@ -157,17 +157,17 @@
             raise Refused("absent", "the operator file has no fleet: add one, and start the gateway anew")
         return self.fleet
 
-    async def _view(self) -> View:
-        answer: asyncio.Future[View] = asyncio.get_running_loop().create_future()
-        self._decider.post(Describe(answer))
+    async def _view(self) -> OperatorView:
+        answer: asyncio.Future[OperatorView] = asyncio.get_running_loop().create_future()
+        self._decider.post(ViewRequested(answer))
         try:
             return await asyncio.wait_for(answer, ANSWER_WITHIN)
         except TimeoutError as error:
             raise Refused("busy", "the decider does not answer in time") from error
 
-    def _status(self, view: View) -> dict[str, Any]:
+    def _status(self, view: OperatorView) -> dict[str, Any]:
         believed, now = view.believed, self._clock.now()
-        ready = [engine for engine in believed.engines if engine.state is api.State.READY]
+        ready = [engine for engine in believed.endpoints if engine.status is api.EndpointStatus.READY]
         usable = [engine for engine in ready if engine.ejected_until is None]
         return {
             "gateway": self._name,
@@ -176,12 +176,12 @@
             "level": self._keeper.standing(now).level if self._keeper else None,
             "level_why": self._why() if self._keeper else None,
             "engines": {
-                "listed": len(believed.engines),
+                "listed": len(believed.endpoints),
                 "usable": len(usable),
                 "cold": sum(engine.slow_start_until is not None for engine in usable),
                 "aside": sum(engine.ejected_until is not None for engine in ready),
             },
-            "commands": {"open": believed.open, "held": believed.held},
+            "commands": {"open": believed.open_requests, "held": believed.queued_requests},
             "share": believed.share,
             "pace": believed.baseline_ratio,
             "strained": believed.overloaded,
@@ -216,16 +216,16 @@
         return dataclasses.asdict(change) | {"cause": change.cause.value, "text": str(change)}
 
     @staticmethod
-    def _engines(view: View) -> list[dict[str, Any]]:
+    def _engines(view: OperatorView) -> list[dict[str, Any]]:
         return [
             {
-                "engine": belief.engine.decode("latin-1"),
-                "address": view.addresses.get(belief.engine),
-                "state": belief.state.value,
+                "engine": belief.endpoint_id.decode("latin-1"),
+                "address": view.addresses.get(belief.endpoint_id),
+                "state": belief.status.value,
                 "kind": view.kinds[belief.kind] if belief.kind < len(view.kinds) else str(belief.kind),
                 "cores": belief.cores,
                 "threads": belief.threads,
-                "sends": belief.sends,
+                "sends": belief.in_flight,
                 "loads": belief.loads,
                 "pace": belief.latency_ratio,
                 "pressed": belief.overloaded,
@@ -234,11 +234,11 @@
                 "aside_us": max(0, belief.ejected_until - view.now) if belief.ejected_until else None,
                 "cold_us": max(0, belief.slow_start_until - view.now) if belief.slow_start_until else None,
             }
-            for belief in view.believed.engines
+            for belief in view.believed.endpoints
         ]
 
     @staticmethod
-    def _commands(view: View, most: int) -> dict[str, Any]:
+    def _commands(view: OperatorView, most: int) -> dict[str, Any]:
         oldest = sorted(view.commands, key=lambda command: command.age, reverse=True)
         shown = [dataclasses.asdict(command) for command in oldest[: max(0, most)]]
         return {"open": len(view.commands), "shown": shown}
@@ -255,7 +255,7 @@
             raise Refused("absent", "no level is held")
         return await self._by_hand(Release())
 
-    def _kept(self) -> CellKeeper:
+    def _kept(self) -> CellController:
         if self._cells is None:
             raise Refused("absent", "the operator file has no cells: add some, and start the gateway anew")
         return self._cells
@@ -287,7 +287,7 @@
         if (why := self._kept().refuses(self._clock.now(), tenant, cell)) is not None:
             raise Refused("unknown", why)
         if not dry_run:
-            self._decider.post(Tell(MoveTenant(tenant, cell, "by hand")))
+            self._decider.post(SubsystemEvent(MoveTenant(tenant, cell, "by hand")))
             await self._view()
         return self._cells_told(tenant)
 
@@ -295,18 +295,20 @@
         move = self._kept().moves.get(tenant)
         if move is None or move.step in NO_WAY_BACK:
             raise Refused("unknown", f"'{tenant}' is on no way that it could come back from")
-        self._decider.post(Tell(AbortMove(tenant, "by hand")))
+        self._decider.post(SubsystemEvent(AbortMove(tenant, "by hand")))
         await self._view()
         return self._cells_told(tenant)
 
     async def _by_hand(self, event: Hold | Release) -> dict[str, Any]:
-        self._decider.post(Tell(event))
+        self._decider.post(SubsystemEvent(event))
         await self._view()  # has been told by then: the mailbox keeps its order
         return self._levels(1)
 
 
-def control_server(file: OperatorFile, operated: Operated, supervisor: Supervisor) -> ControlServer | None:
+def control_server(
+    file: OperatorFile, operated: OperatorService, supervisor: Supervisor
+) -> ControlServer | None:
     if (socket := file.control) is None:
         return None
-    manners = Manners(socket.longest_request, socket.patience, socket.clients)
+    manners = ControlLimits(socket.longest_request, socket.patience, socket.clients)
     return ControlServer(socket.path, manners, operated.answer, supervisor)
--- a/lotusstream/net/peers.py
+++ b/lotusstream/net/peers.py
@@ -12,7 +12,7 @@
 
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.buffer import Buffer, BufferFull
-from lotusstream.net.connection import US, Endpoint
+from lotusstream.net.connection import US, Address
 from lotusstream.protocol import peers as wire
 
 QUEUE = 512  # frames that wait for one peer; what comes on top of them is lost
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerManners:
+class PeerLimits:
     """`patience`: microseconds in which a peer takes what is sent, and answers a ping. `callers`: connections
     that are taken at once."""
 
@@ -38,7 +38,7 @@
 class Line:
     """One connection with its queue: both directions, until either breaks."""
 
-    def __init__(self, sock: socket.socket, manners: PeerManners) -> None:
+    def __init__(self, sock: socket.socket, manners: PeerLimits) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock, self._manners = sock, manners
@@ -84,7 +84,7 @@
             try:
                 count = await loop.sock_recv_into(self._sock, self._buffer.space())
             except BufferFull as error:
-                raise wire.BrokenPeer(str(error)) from error
+                raise wire.PeerProtocolError(str(error)) from error
             if not count:
                 return None
             self._buffer.filled(count)
@@ -98,11 +98,13 @@
         async with asyncio.timeout(self._manners.patience / US):
             first = await self.read()
         if not isinstance(first, wire.Greeting):
-            raise wire.BrokenPeer("the first frame is no greeting")
+            raise wire.PeerProtocolError("the first frame is no greeting")
         if first.version != wire.VERSION:
-            raise wire.BrokenPeer(f"{first.name} speaks version {first.version}, here it is {wire.VERSION}")
+            raise wire.PeerProtocolError(
+                f"{first.name} speaks version {first.version}, here it is {wire.VERSION}"
+            )
         if first.group != self._manners.group:
-            raise wire.BrokenPeer(
+            raise wire.PeerProtocolError(
                 f"{first.name} is of group '{first.group}', here it is '{self._manners.group}'"
             )
         self._speaks = first.speaks
@@ -127,14 +129,14 @@
         await asyncio.gather(*works, return_exceptions=True)
 
 
-ENDS = (OSError, TimeoutError, wire.BrokenPeer)
+ENDS = (OSError, TimeoutError, wire.PeerProtocolError)
 
 
 class PeerServer:
     """Takes connections of other gateways and hands on what they tell."""
 
     def __init__(
-        self, address: Endpoint, manners: PeerManners, handle: Handler, supervisor: Supervisor
+        self, address: Address, manners: PeerLimits, handle: Handler, supervisor: Supervisor
     ) -> None:
         self._address, self._manners, self._handle = address, manners, handle
         self._supervisor, self._listener = supervisor, socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -176,7 +178,7 @@
             await _either(start(line.write()), start(self._read(line, name)))
         except ENDS as error:
             self._supervisor.counters.add("peers that broke off")
-            if isinstance(error, wire.BrokenPeer):
+            if isinstance(error, wire.PeerProtocolError):
                 self._supervisor.log.say("peers", f"{name or 'a stranger'}: {error}", peer=name)
         finally:
             self._open -= 1
@@ -207,8 +209,8 @@
     def __init__(
         self,
         name: str,
-        address: Endpoint,
-        manners: PeerManners,
+        address: Address,
+        manners: PeerLimits,
         idle: int,
         handle: Handler,
         supervisor: Supervisor,
@@ -240,7 +242,7 @@
                 self.why = "closed"
             except ENDS as error:
                 self.why = str(error) or type(error).__name__
-                if isinstance(error, wire.BrokenPeer):
+                if isinstance(error, wire.PeerProtocolError):
                     self._supervisor.log.say("peers", f"{self.name}: {error}", peer=self.name)
             finally:
                 self.connected, self._line = False, None
@@ -278,7 +280,7 @@
     async def _read(self, line: Line) -> None:
         greeting = await line.greeted()
         if greeting.name != self.name:
-            raise wire.BrokenPeer(f"'{greeting.name}' answers where '{self.name}' should be")
+            raise wire.PeerProtocolError(f"'{greeting.name}' answers where '{self.name}' should be")
         self.connected, self.tries, self.why = True, 0, ""
         while (frame := await line.read()) is not None:
             if not isinstance(frame, wire.Pong):
--- a/lotusstream/net/keeper.py
+++ b/lotusstream/net/raft_node.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from lotusstream.leases.desk import Asked, Changed, LeaseDesk, LookedUp, Passed, Reply
 from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.service import Asked, Changed, LeaseService, LookedUp, Passed, Reply
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import US
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.journal import OnDisk
-from lotusstream.quorum.keeper import Keeper, Pace
 from lotusstream.quorum.messages import Envelope, Record
-from lotusstream.record.log import CorruptLog, Disk, DiskTrouble, Log
+from lotusstream.quorum.node import RaftNode, RaftTiming
+from lotusstream.quorum.replicated_log import OnDisk
+from lotusstream.wal.log import CorruptLogError, Disk, DiskError, Log
 
 _RECORDS: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
 AGAIN = 1.0  # seconds until a disk that failed is looked at again
@@ -41,26 +41,26 @@
     try:
         os.makedirs(folder, mode=0o700, exist_ok=True)
     except OSError as error:
-        raise DiskTrouble(folder, error.strerror or str(error), "name a folder that can be made") from error
+        raise DiskError(folder, error.strerror or str(error), "name a folder that can be made") from error
     log = Log(path, make_disk()).open()
     try:
         found = OnDisk([_RECORDS.decode(payload) for payload in log.payloads])
     except (msgspec.MsgspecError, ValueError) as error:
         log.close()
         hint = "move it away: this keeper then comes back as a new one"
-        raise CorruptLog(path, f"a record can't be read: {error}", hint, 0) from error
+        raise CorruptLogError(path, f"a record can't be read: {error}", hint, 0) from error
     log.payloads = []
     return log, found
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperTerms:
+class RaftActorOptions:
     """`named`: the keepers by name, of the operator file."""
 
     name: str
     folder: str
     named: tuple[str, ...]
-    pace: Pace
+    pace: RaftTiming
     leases: LeaseTerms
     seed: int
 
@@ -94,7 +94,7 @@
             saves.append(more)
         try:
             await asyncio.to_thread(self._write, saves)
-        except DiskTrouble as error:
+        except DiskError as error:
             self._failed = True
             self._told(_DiskFailed(str(error)))
             return
@@ -123,16 +123,16 @@
 KeeperMessage = ev.Event | Asked | LookedUp | Changed | _DiskFailed | _Open
 
 
-class KeeperActor(Actor[KeeperMessage]):
+class RaftActor(Actor[KeeperMessage]):
     """`say` carries an envelope to another keeper; it may be lost. Who asks gives a callable as `caller`."""
 
     def __init__(
-        self, terms: KeeperTerms, store: tuple[Log, OnDisk] | None, say: Callable[[Envelope], None],
+        self, terms: RaftActorOptions, store: tuple[Log, OnDisk] | None, say: Callable[[Envelope], None],
         supervisor: Supervisor,
     ) -> None:  # fmt: skip
         super().__init__("keeper", supervisor)
         self._terms, self._say = terms, say
-        self.desk: LeaseDesk | None = None
+        self.desk: LeaseService | None = None
         self._store: StoreWriter | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._due = 0
@@ -177,8 +177,8 @@
         terms, now = self._terms, clock.boot_clock()
         fresh = f"{terms.name}-{uuid.uuid4().hex[:12]}"
         seed = terms.seed + self._starts
-        keeper = Keeper(terms.name, found, fresh, terms.named, terms.pace, seed, now)
-        self.desk = LeaseDesk(keeper, terms.leases)
+        keeper = RaftNode(terms.name, found, fresh, terms.named, terms.pace, seed, now)
+        self.desk = LeaseService(keeper, terms.leases)
         self._due = 0
         self.post(ev.Tick())
 
--- a/lotusstream/net/parts.py
+++ b/lotusstream/net/subsystems.py
@@ -10,22 +10,22 @@
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.client import TenantOf
 from lotusstream.net.clock import Clock
-from lotusstream.net.configuration import Configuration, UnusableConfiguration
-from lotusstream.net.decider import Decider, Module, Tell
+from lotusstream.net.configuration import Configuration, ConfigurationError
+from lotusstream.net.decider import Decider, DecisionModule, SubsystemEvent
 from lotusstream.operator.file import OperatorFile, fixed_differences
-from lotusstream.operator.problems import UnusableOperatorFile
+from lotusstream.operator.problems import OperatorFileError
 
 if TYPE_CHECKING:
-    from lotusstream.cells.keeper import CellKeeper
+    from lotusstream.cells.controller import CellController
     from lotusstream.cells.move import Move
-    from lotusstream.levels.keeper import LevelKeeper
+    from lotusstream.levels.controller import LevelController
     from lotusstream.net.control import ControlServer
     from lotusstream.net.fleet import Fleet
-    from lotusstream.net.operated import Operated
+    from lotusstream.net.operator_service import OperatorService
 
 
 @dataclass(frozen=True, slots=True)
-class Around:
+class SubsystemContext:
     """What every part may use."""
 
     file: OperatorFile
@@ -34,16 +34,16 @@
     supervisor: Supervisor
 
 
-class Part:
+class Subsystem:
     """What it sees and adds: events of commands by `beside`, in front of the module; all else as events
     posted to the decider that `tie` gives. No part calls another but those told by name when it is made."""
 
     descriptors = 0  # at most, of the gateway's
 
-    def __init__(self, around: Around) -> None:
+    def __init__(self, around: SubsystemContext) -> None:
         self.around = around
 
-    def beside(self, module: Module) -> Module:
+    def beside(self, module: DecisionModule) -> DecisionModule:
         return module
 
     def tie(self, decider: Decider) -> None: ...
@@ -60,33 +60,33 @@
         """Once all tasks have ended."""
 
 
-class CellsPart(Part):
+class CellsSubsystem(Subsystem):
     """Confinement, and moves with the log that they rest on. A disk that can't be used stops moves, a log
     that can't be trusted the start."""
 
-    def __init__(self, around: Around) -> None:
+    def __init__(self, around: SubsystemContext) -> None:
         super().__init__(around)
-        from lotusstream.cells.keeper import CellKeeper
+        from lotusstream.cells.controller import CellController
         from lotusstream.cells.move import terms
         from lotusstream.net.moves import MoveWriter
-        from lotusstream.record.log import LogTrouble
+        from lotusstream.wal.log import LogError
 
         cells, deployment = around.file.cells, around.given.deployment
         assert cells is not None
         try:
             log, why, moves = self._log(cells.log)
-        except LogTrouble as error:
-            raise UnusableConfiguration(f"cells: {error}") from error
+        except LogError as error:
+            raise ConfigurationError(f"cells: {error}") from error
         profiles = deployment.started.profiles
         self._decider: Decider | None = None
         self.writer = MoveWriter(log, why, self._tell, around.supervisor)
         plan = cells.plan(deployment.zones, deployment.kinds)
         move_terms = terms(profiles, cells.hold, cells.drain)
-        self.keeper: CellKeeper = CellKeeper(plan, move_terms, profiles, moves, cells.poison)
+        self.keeper: CellController = CellController(plan, move_terms, profiles, moves, cells.poison)
 
     def _log(self, path: str | None):  # type: ignore[no-untyped-def]
         from lotusstream.net.moves import read_moves
-        from lotusstream.record.log import DiskTrouble, Log
+        from lotusstream.wal.log import DiskError, Log
 
         moves: list[Move] = []
         if path is None:
@@ -94,27 +94,27 @@
         try:
             log = Log(path).open()
             return log, "", read_moves(log, path, self.around.clock.now())
-        except DiskTrouble as error:
+        except DiskError as error:
             self.around.supervisor.log.say("moves", f"none can be made: {error}", "error")
             return None, str(error), moves
 
     def _tell(self, event: object) -> None:
         assert self._decider is not None
-        self._decider.post(Tell(event))
+        self._decider.post(SubsystemEvent(event))
 
-    def beside(self, module: Module) -> Module:
-        from lotusstream.cells.keeper import InCells
+    def beside(self, module: DecisionModule) -> DecisionModule:
+        from lotusstream.cells.controller import CellAdmission
 
         log = self.around.supervisor.log
-        return InCells(module.handle, self.keeper, self.writer.post, lambda why: log.say("moves", why))
+        return CellAdmission(module.handle, self.keeper, self.writer.post, lambda why: log.say("moves", why))
 
     @property
     def tenants(self) -> TenantOf:
-        from lotusstream.cells.who import tenant_of
+        from lotusstream.cells.tenant_lookup import lookup_tenant
         from lotusstream.protocol.tables import schema_name
 
         cells = self.keeper
-        return lambda fields, mark, statement: tenant_of(
+        return lambda fields, mark, statement: lookup_tenant(
             cells.plan.sources, fields, mark, lambda: schema_name(statement)
         )
 
@@ -128,27 +128,29 @@
         self.writer.close()
 
 
-class LevelsPart(Part):
+class LevelsSubsystem(Subsystem):
     """The keeper of levels, in front of all else."""
 
-    def __init__(self, around: Around) -> None:
+    def __init__(self, around: SubsystemContext) -> None:
         super().__init__(around)
-        from lotusstream.levels.keeper import LevelKeeper
+        from lotusstream.levels.controller import LevelController
 
         deployment = around.given.deployment
         assert around.file.ladder is not None
-        self.keeper: LevelKeeper = LevelKeeper(around.file.ladder, deployment.started, deployment.profiles)
+        self.keeper: LevelController = LevelController(
+            around.file.ladder, deployment.started, deployment.profiles
+        )
 
-    def beside(self, module: Module) -> Module:
-        from lotusstream.levels.keeper import Beside
+    def beside(self, module: DecisionModule) -> DecisionModule:
+        from lotusstream.levels.controller import LevelAdmission
 
-        return Beside(module.handle, self.keeper)
+        return LevelAdmission(module.handle, self.keeper)
 
 
-class FleetPart(Part):
+class FleetSubsystem(Subsystem):
     """Leases, their tasks, and the quorum where this gateway keeps it."""
 
-    def __init__(self, around: Around) -> None:
+    def __init__(self, around: SubsystemContext) -> None:
         super().__init__(around)
         assert around.file.fleet is not None
         self.descriptors = around.file.fleet.descriptors(around.given.name)
@@ -156,7 +158,7 @@
 
     def tie(self, decider: Decider) -> None:
         from lotusstream.net.fleet import Fleet
-        from lotusstream.record.log import LogTrouble
+        from lotusstream.wal.log import LogError
 
         given, told = self.around.given, self.around.file.fleet
         assert told is not None
@@ -165,17 +167,17 @@
             self.fleet = Fleet(told, given.name, given.deployment, decider, clock, supervisor)
             self.anew(self.around.file)
             self._leave_moves_to_others(decider)
-        except LogTrouble as error:
-            raise UnusableConfiguration(f"fleet: {error}") from error
+        except LogError as error:
+            raise ConfigurationError(f"fleet: {error}") from error
 
     def _leave_moves_to_others(self, decider: Decider) -> None:
         """In a fleet a move needs the lease, also where this gateway never asks for it."""
-        from lotusstream.cells.keeper import Drives
+        from lotusstream.cells.controller import Drives
         from lotusstream.operator.fleet import MOVES
 
         told = self.around.file.fleet
         if told is not None and self.around.file.cells is not None and MOVES not in told.tasks:
-            decider.post(Tell(Drives(0)))
+            decider.post(SubsystemEvent(Drives(0)))
 
     def anew(self, file: OperatorFile) -> None:
         from lotusstream.net.tasks import PLAN
@@ -188,7 +190,7 @@
         try:
             self.fleet.start()
         except OSError as error:
-            raise UnusableConfiguration(f"fleet: peers can't be taken: {error}") from error
+            raise ConfigurationError(f"fleet: peers can't be taken: {error}") from error
 
     def leave(self) -> None:
         if self.fleet is not None:
@@ -199,21 +201,25 @@
             await self.fleet.stop()
 
 
-class ControlPart(Part):
+class ControlSubsystem(Subsystem):
     """Feeds the keepers of the other parts, and answers on the control socket about all of them."""
 
     def __init__(
-        self, around: Around, cells: CellsPart | None, levels: LevelsPart | None, fleet: FleetPart | None
+        self,
+        around: SubsystemContext,
+        cells: CellsSubsystem | None,
+        levels: LevelsSubsystem | None,
+        fleet: FleetSubsystem | None,
     ) -> None:
         super().__init__(around)
         self._cells, self._levels, self._fleet = cells, levels, fleet
-        self.operated: Operated | None = None
+        self.operated: OperatorService | None = None
         self._server: ControlServer | None = None
         socket = around.file.control
         self.descriptors = socket.clients + 2 if socket else 0
 
     def tie(self, decider: Decider) -> None:
-        from lotusstream.net.operated import Operated, control_server
+        from lotusstream.net.operator_service import OperatorService, control_server
         from lotusstream.observe.own import OwnUseReader
 
         file, given, supervisor = self.around.file, self.around.given, self.around.supervisor
@@ -222,7 +228,7 @@
         cells = self._cells.keeper if self._cells else None
         fleet = self._fleet.fleet if self._fleet else None
         clock = self.around.clock
-        self.operated = Operated(file, given, levels, cells, fleet, decider, own, clock, supervisor)
+        self.operated = OperatorService(file, given, levels, cells, fleet, decider, own, clock, supervisor)
         self._server = control_server(file, self.operated, supervisor)
 
     def start(self) -> None:
@@ -231,7 +237,7 @@
             try:
                 self._server.start()
             except Exception as error:
-                raise UnusableConfiguration(f"control: {error}") from error
+                raise ConfigurationError(f"control: {error}") from error
         if self.operated.ticks:
             self.around.supervisor.keep("levels", self.operated.feed)
 
@@ -240,7 +246,7 @@
             self._server.stop()
 
 
-class Parts:
+class Subsystems:
     """All that a file asks for, in the order in which it stands in front of the module: nearest first."""
 
     def __init__(
@@ -252,22 +258,22 @@
             from lotusstream.observe.log import structured
 
             supervisor.log.use(structured(file.log.form, file.log.threshold, given.name))
-        around = Around(file, given, clock, supervisor)
-        self.cells = CellsPart(around) if file.cells is not None else None
-        self.levels = LevelsPart(around) if file.ladder is not None else None
-        self.fleet = FleetPart(around) if file.fleet is not None else None
-        self.control = ControlPart(around, self.cells, self.levels, self.fleet)
+        around = SubsystemContext(file, given, clock, supervisor)
+        self.cells = CellsSubsystem(around) if file.cells is not None else None
+        self.levels = LevelsSubsystem(around) if file.ladder is not None else None
+        self.fleet = FleetSubsystem(around) if file.fleet is not None else None
+        self.control = ControlSubsystem(around, self.cells, self.levels, self.fleet)
         self._all = [each for each in (self.cells, self.levels, self.fleet, self.control) if each is not None]
         self.descriptors = sum(each.descriptors for each in self._all)
         if self.fleet is not None and self.descriptors > given.descriptors // 2:
             what = f"{self.descriptors} of {given.descriptors} descriptors for peers and control"
-            raise UnusableConfiguration(f"fleet: {what}; lower 'peers-most'")
+            raise ConfigurationError(f"fleet: {what}; lower 'peers-most'")
 
     @property
     def tenants(self) -> TenantOf | None:
         return self.cells.tenants if self.cells else None
 
-    def beside(self, module: Module) -> Module:
+    def beside(self, module: DecisionModule) -> DecisionModule:
         for part in self._all:
             module = part.beside(module)
         return module
@@ -301,8 +307,8 @@
         try:
             new = read()
             if fixed := fixed_differences(operated.file, new):
-                raise UnusableOperatorFile.alone(new.path, f"can't change while running: {', '.join(fixed)}")
-        except UnusableOperatorFile as error:  # what was in force stays
+                raise OperatorFileError.alone(new.path, f"can't change while running: {', '.join(fixed)}")
+        except OperatorFileError as error:  # what was in force stays
             counters.add("operator files refused")
             log.say("operator", f"not taken: {'; '.join(map(str, error.problems))}", "error")
             return
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lotusstream.cells.keeper import Drives
+from lotusstream.cells.controller import Drives
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.decider import Tell
+from lotusstream.net.decider import SubsystemEvent
 from lotusstream.operator.fleet import MOVES
 
 PLAN = "plan"
@@ -20,7 +20,7 @@
 Agree = Callable[[str, int, str], Awaitable[str]]  # key, token, task: '' once agreed on, or why not
 
 
-class Task(Protocol):
+class FleetTask(Protocol):
     """`begin` under a token, until `stop`."""
 
     def begin(self, token: int) -> None: ...
@@ -29,12 +29,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Around:
+class TaskContext:
     """What a task gets. `may_act`: the token at this moment, or 0: to be asked before each act."""
 
     name: str
     may_act: Callable[[], int]
-    tell_decider: Callable[[Tell], None]
+    tell_decider: Callable[[SubsystemEvent], None]
     supervisor: Supervisor
     agree: Agree
 
@@ -43,7 +43,7 @@
     """Begins moves of tenants: by hand here, or of the poisonous, once all agree on this gateway's plan. The
     keeper of cells turns away what comes under an older token."""
 
-    def __init__(self, around: Around) -> None:
+    def __init__(self, around: TaskContext) -> None:
         self._around = around
         self._agreeing: asyncio.Task[None] | None = None
 
@@ -55,14 +55,14 @@
             self._around.supervisor.log.say("plan", f"no moves are begun here: {why}", reason=why)
             await asyncio.sleep(PAUSE)
         if self._around.may_act() == token:
-            self._around.tell_decider(Tell(Drives(token)))
+            self._around.tell_decider(SubsystemEvent(Drives(token)))
 
     def stop(self, why: str) -> None:
         if self._agreeing is not None:
             self._agreeing.cancel()
             self._agreeing = None
-        self._around.tell_decider(Tell(Drives(0)))
+        self._around.tell_decider(SubsystemEvent(Drives(0)))
 
 
-Makers = dict[str, Callable[[Around], Task]]
+Makers = dict[str, Callable[[TaskContext], FleetTask]]
 MAKERS: Makers = {MOVES: MovesTask}
--- a/lotusstream/operator/cells.py
+++ b/lotusstream/operator/cells.py
@@ -8,26 +8,26 @@
 from hashlib import blake2b
 
 from lotusstream.cells.plan import DRAWN, Cell, Empty, Engines, Plan, Source, TenantSource, unfit
-from lotusstream.cells.poison import PoisonTerms
+from lotusstream.cells.poison_requests import PoisonTerms
 from lotusstream.cells.trie import BadPattern, NameTrie
-from lotusstream.interface import Engine, Profile
+from lotusstream.interface import EndpointEntry, Profile
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
-from lotusstream.operator.tree import Argument, Directive, Node, Unfit, name, number, path, time
-from lotusstream.operator.units import NoSuchUnit, parse_share
+from lotusstream.operator.tree import Argument, Directive, DirectiveError, Node, name, number, path, time
+from lotusstream.operator.units import UnknownUnitError, parse_share
 
 SECOND = 1_000_000
 HOLD, DRAIN, MOST_MOVES = 2 * SECOND, 30 * SECOND, 10
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class DeploymentContext:
     """What the gateway's configuration tells: profiles by name, zones, kinds, engines as first known."""
 
     profiles: Mapping[str, Profile]
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    engines: tuple[Engine, ...] = ()
+    engines: tuple[EndpointEntry, ...] = ()
     gateway: str = ""
 
 
@@ -74,7 +74,7 @@
     def places(told: tuple[str, ...], known: Sequence[str], what: str) -> frozenset[int] | None:
         for each in told:
             if each not in known:
-                raise Unfit(f"no {what} is called '{each}'", nearest(each, known))
+                raise DirectiveError(f"no {what} is called '{each}'", nearest(each, known))
         return frozenset(known.index(each) for each in told) if told else None
 
     return Engines(
@@ -95,7 +95,7 @@
     part: tuple[float, float] | None = None
     left = list(words)
     if not left:
-        raise Unfit("found the end of the line", "all, zone, kind, list-cell, id or part would do")
+        raise DirectiveError("found the end of the line", "all, zone, kind, list-cell, id or part would do")
     if left[0].text == "all" and len(left) == 1:
         return EnginesText()
     while left:
@@ -103,14 +103,16 @@
         if word.text == "part":
             part = _part(word, [left.pop(0) for _ in range(min(2, len(left)))])
         elif word.text not in found:
-            raise Unfit(f"found '{word.text}'", nearest(word.text, [*found, "part", "all"]), word.column)
+            raise DirectiveError(
+                f"found '{word.text}'", nearest(word.text, [*found, "part", "all"]), word.column
+            )
         elif not left:
-            raise Unfit("found the end of the line", f"what {word.text} it is would do")
+            raise DirectiveError("found the end of the line", f"what {word.text} it is would do")
         else:
             found[word.text].append(left.pop(0).plain())
     numbers = [each for each in found["list-cell"] if not each.isdigit()]
     if numbers:
-        raise Unfit(f"found '{numbers[0]}'", "the number of a cell as the list has it would do")
+        raise DirectiveError(f"found '{numbers[0]}'", "the number of a cell as the list has it would do")
     told_cells = tuple(int(each) for each in found["list-cell"])
     return EnginesText(tuple(found["zone"]), tuple(found["kind"]), told_cells, tuple(found["id"]), part)
 
@@ -119,16 +121,16 @@
     hint = "two shares would do, as in part 0% 50%"
     try:
         low, high = (parse_share(edge.text) for edge in edges)
-    except (NoSuchUnit, ValueError) as error:
-        raise Unfit("'part' has no two shares", hint, word.column) from error
+    except (UnknownUnitError, ValueError) as error:
+        raise DirectiveError("'part' has no two shares", hint, word.column) from error
     if not 0 <= low < high <= 1:
-        raise Unfit(f"a part from {low:.0%} to {high:.0%}", hint, word.column)
+        raise DirectiveError(f"a part from {low:.0%} to {high:.0%}", hint, word.column)
     return low, high
 
 
 def read_names(words: Sequence[Word]) -> tuple[Word, ...]:
     if not words:
-        raise Unfit("found the end of the line", "names, prefixes as in uni-* or patterns would do")
+        raise DirectiveError("found the end of the line", "names, prefixes as in uni-* or patterns would do")
     return tuple(words)
 
 
@@ -140,7 +142,7 @@
     if len(told) == 1 and told[0] in ("key", "schema"):
         return TenantSource(Source(told[0]))
     found = f"found '{words[0].text}'" if words else "found the end of the line"
-    raise Unfit(found, "field NAME, key or schema would do", words[0].column if words else None)
+    raise DirectiveError(found, "field NAME, key or schema would do", words[0].column if words else None)
 
 
 def read_empty(words: Sequence[Word]) -> tuple[Empty, str | None]:
@@ -151,7 +153,7 @@
     if len(told) == 2 and told[0] == "borrow":
         return Empty.BORROW, told[1]
     found = f"found '{words[0].text}'" if words else "found the end of the line"
-    raise Unfit(found, "refuse, or borrow CELL, would do", words[0].column if words else None)
+    raise DirectiveError(found, "refuse, or borrow CELL, would do", words[0].column if words else None)
 
 
 def _all(*directives: Directive) -> dict[str, Directive]:
@@ -259,18 +261,18 @@
     return PoisonTerms(float(values["a number"]), values["a time"], values["another time"], ward)
 
 
-def unfit_cells(file: str, block: Node, text: CellsText, around: Surroundings) -> Iterator[Problem]:
+def unfit_cells(file: str, block: Node, text: CellsText, around: DeploymentContext) -> Iterator[Problem]:
     """What does not go with the gateway's zones, kinds, profiles and engines as first known."""
     places = {node.values["a name"]: node for node in block.all("cell")}
     for cell, texts in text.cells:
         for at, choice_of in zip(places[cell.name].all("engines"), texts, strict=True):
             try:
                 _chosen(choice_of, around.zones, around.kinds)
-            except Unfit as error:
+            except DirectiveError as error:
                 yield Problem(file, at.line, at.column, error.what, error.hint)
     try:
         plan = text.plan(around.zones, around.kinds)
-    except Unfit:
+    except DirectiveError:
         return
     for each in unfit(plan, around.engines, around.profiles) if around.engines else ():
         if each.grave:
--- a/lotusstream/operator/file.py
+++ b/lotusstream/operator/file.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lotusstream.interface import Further
+from lotusstream.interface import RetriesAllowed
 from lotusstream.levels.condition import Compare
-from lotusstream.levels.ladder import FULL_SERVICE, Ladder, Level, Start, Unsound, unsound, unsound_for
-from lotusstream.operator.cells import CellsText, Surroundings, cells_of, unfit_cells
+from lotusstream.levels.ladder import FULL_SERVICE, Ladder, LadderError, Level, Start, unsound, unsound_for
+from lotusstream.operator.cells import CellsText, DeploymentContext, cells_of, unfit_cells
 from lotusstream.operator.fleet import MOVES, FleetText, fleet_of, unfit_fleet
-from lotusstream.operator.problems import Problem, UnusableOperatorFile
+from lotusstream.operator.problems import OperatorFileError, Problem
 from lotusstream.operator.tree import Node, TreeReader
 from lotusstream.operator.units import write_time
 from lotusstream.operator.vocabulary import TOP
@@ -52,7 +52,7 @@
     root: Node
     fleet: FleetText | None = None
 
-    def unfit_for(self, around: Surroundings) -> list[Problem]:
+    def unfit_for(self, around: DeploymentContext) -> list[Problem]:
         """What does not go with the gateway's configuration."""
         found = []
         if self.ladder is not None:
@@ -66,28 +66,26 @@
         return found
 
 
-def load_operator_file(path: str, around: Surroundings | None = None) -> OperatorFile:
+def load_operator_file(path: str, around: DeploymentContext | None = None) -> OperatorFile:
     """Raises UnusableOperatorFile with all that is wrong."""
     try:
         with Path(path).open("rb") as file:
             raw = file.read(LONGEST_FILE + 1)
         if len(raw) > LONGEST_FILE:
-            raise UnusableOperatorFile(
-                [Problem(path, 1, 1, "the file is over 1 MB", "name an operator file")]
-            )
+            raise OperatorFileError([Problem(path, 1, 1, "the file is over 1 MB", "name an operator file")])
         text = raw.decode("utf-8")
     except OSError as error:
         hint = "name a file that can be read"
-        raise UnusableOperatorFile([Problem(path, 1, 1, error.strerror or str(error), hint)]) from error
+        raise OperatorFileError([Problem(path, 1, 1, error.strerror or str(error), hint)]) from error
     except UnicodeDecodeError as error:
         line = raw[: error.start].count(b"\n") + 1
         column = error.start - (raw[: error.start].rfind(b"\n") + 1) + 1
         trouble = Problem(path, line, column, "a byte that is not UTF-8", "save the file as UTF-8")
-        raise UnusableOperatorFile([trouble]) from error
+        raise OperatorFileError([trouble]) from error
     return read_operator_file(text, path, around)
 
 
-def read_operator_file(text: str, path: str, around: Surroundings | None = None) -> OperatorFile:
+def read_operator_file(text: str, path: str, around: DeploymentContext | None = None) -> OperatorFile:
     """Raises UnusableOperatorFile. Without surroundings, names of profiles, zones and kinds are not
     checked."""
     reader = TreeReader(path, TOP)
@@ -120,7 +118,7 @@
                     Problem(path, alone.line, alone.column, what, "name the socket: control PATH")
                 )
     if problems:
-        raise UnusableOperatorFile(problems)
+        raise OperatorFileError(problems)
     control = None
     if node is not None:
         plain = ControlSocket(node.values["a path"])
@@ -137,7 +135,7 @@
         )
     found = OperatorFile(path, control, log, ladder, cells, root, fleet)
     if around is not None and (unfit := found.unfit_for(around)):
-        raise UnusableOperatorFile(unfit)
+        raise OperatorFileError(unfit)
     return found
 
 
@@ -187,7 +185,7 @@
         leave=leave.condition,
         stay=node.value("stay", "a time", 0),
         admit={each.values["a profile"]: each.values["a share"] for each in node.all("admit")},
-        further=Further(node.value("further", "all, unrun or none", Further.ALL.value)),
+        further=RetriesAllowed(node.value("further", "all, unrun or none", RetriesAllowed.ALL.value)),
         advice=node.value("advice", "a time"),
         priorities={each.values["a profile"]: each.values["a priority"] for each in node.all("priority")},
         formerly=node.value("formerly", "a name"),
@@ -195,7 +193,7 @@
     )
 
 
-def _placed(path: str, root: Node, found: Unsound) -> Problem:
+def _placed(path: str, root: Node, found: LadderError) -> Problem:
     block = root.one("ladder")
     assert block is not None
     at = block
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -5,15 +5,26 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from lotusstream.copies.manager import CopyTerms
+from lotusstream.copies.shard_controller import CopyTerms
 from lotusstream.copies.shards import SHARDS
-from lotusstream.examine.news import ExamineTerms
+from lotusstream.healthcheck.reports import HealthCheckOptions
 from lotusstream.leases.granter import LeaseTerms
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
-from lotusstream.operator.tree import Argument, Directive, Node, Unfit, name, number, path, share, size, time
+from lotusstream.operator.tree import (
+    Argument,
+    Directive,
+    DirectiveError,
+    Node,
+    name,
+    number,
+    path,
+    share,
+    size,
+    time,
+)
 from lotusstream.operator.units import write_time
-from lotusstream.quorum.keeper import Pace
+from lotusstream.quorum.node import RaftTiming
 
 MS, SECOND = 1_000, 1_000_000
 LEAST_LOOK = 100 * MS
@@ -52,7 +63,7 @@
     keepers: tuple[KeeperAddress, ...]
     store: str | None
     listen: tuple[str, int] | None
-    pace: Pace
+    pace: RaftTiming
     leases: LeaseTerms
     patience: int
     callers: int
@@ -60,7 +71,7 @@
     holders: tuple[HolderAddress, ...] = ()
     copies: CopyTerms | None = None
     remember: int | None = None  # how long a command with a mark is known to all gateways
-    examine: ExamineTerms | None = None
+    examine: HealthCheckOptions | None = None
 
     def descriptors(self, name: str) -> int:
         """How many the gateway of this name needs for it at most."""
@@ -78,16 +89,16 @@
 def address(word: Word) -> tuple[str, int]:
     host, _, port = word.plain().rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise Unfit(f"found '{word.text}'", "host:port would do, as in 10.0.0.4:7100")
+        raise DirectiveError(f"found '{word.text}'", "host:port would do, as in 10.0.0.4:7100")
     return host, int(port)
 
 
 def task_names(words: Sequence[Word]) -> tuple[str, ...]:
     if not words:
-        raise Unfit("found the end of the line", f"one of {', '.join(TASKS)} would do")
+        raise DirectiveError("found the end of the line", f"one of {', '.join(TASKS)} would do")
     for word in words:
         if word.plain() not in TASKS:
-            raise Unfit(f"found '{word.text}'", nearest(word.plain(), TASKS), word.column)
+            raise DirectiveError(f"found '{word.text}'", nearest(word.plain(), TASKS), word.column)
     return tuple(word.plain() for word in words)
 
 
@@ -150,7 +161,7 @@
         keepers,
         block.value("store", "a path"),
         block.value("listen", "an address"),
-        Pace(beat, election),
+        RaftTiming(beat, election),
         LeaseTerms(length, margin, drift),
         block.value("peer-patience", "a time", PATIENCE),
         block.value("peers-most", "a number", 256),
@@ -162,7 +173,7 @@
         ),
         _copies(block, LeaseTerms(length, margin, drift)),
         block.value("remember", "a time"),
-        ExamineTerms(every) if (every := block.value("examine", "a time")) else None,
+        HealthCheckOptions(every) if (every := block.value("examine", "a time")) else None,
     )
     return found, list(_wrong(file, block, found))
 
--- a/lotusstream/operator/problems.py
+++ b/lotusstream/operator/problems.py
@@ -21,7 +21,7 @@
         return f"{self.path}:{self.line}:{self.column}: {self.what}; {self.hint}"
 
 
-class UnusableOperatorFile(Exception):
+class OperatorFileError(Exception):
     """All that is wrong with it, in the order of its lines."""
 
     def __init__(self, problems: Iterable[Problem]) -> None:
@@ -29,7 +29,7 @@
         super().__init__("\n".join(map(str, self.problems)))
 
     @classmethod
-    def alone(cls, path: str, what: str) -> UnusableOperatorFile:
+    def alone(cls, path: str, what: str) -> OperatorFileError:
         """Of the file as a whole."""
         return cls([Problem(path, 1, 1, what, "start the gateway anew for it")])
 
--- a/lotusstream/operator/tree.py
+++ b/lotusstream/operator/tree.py
@@ -16,7 +16,7 @@
 END = "end"
 
 
-class Unfit(Exception):
+class DirectiveError(Exception):
     """A value that won't do: what was found, and what would. `column`: where, if not where it was read
     from."""
 
@@ -81,13 +81,13 @@
 
 def name(word: Word) -> str:
     if word.kind not in ("NAME", "STRING"):
-        raise Unfit(f"found '{word.text}'", "a name of letters, digits, '-' and '_' would do")
+        raise DirectiveError(f"found '{word.text}'", "a name of letters, digits, '-' and '_' would do")
     return word.plain()
 
 
 def path(word: Word) -> str:
     if not word.plain():
-        raise Unfit("found an empty path", "the path of a file would do")
+        raise DirectiveError("found an empty path", "the path of a file would do")
     return word.plain()
 
 
@@ -102,14 +102,14 @@
 def share(word: Word) -> float:
     value = units.parse_share(word.text)
     if not 0 <= value <= 1:
-        raise Unfit(f"found '{word.text}'", "a share from 0% to 100% would do")
+        raise DirectiveError(f"found '{word.text}'", "a share from 0% to 100% would do")
     return value
 
 
 def number(least: int, most: int) -> Callable[[Word], int]:
     def read(word: Word) -> int:
         if word.kind != "NUMBER" or "." in word.text or not least <= int(word.text) <= most:
-            raise Unfit(f"found '{word.text}'", f"a whole number from {least} to {most} would do")
+            raise DirectiveError(f"found '{word.text}'", f"a whole number from {least} to {most} would do")
         return int(word.text)
 
     return read
@@ -118,7 +118,7 @@
 def choice(*known: str) -> Callable[[Word], str]:
     def read(word: Word) -> str:
         if word.text not in known:
-            raise Unfit(f"found '{word.text}'", nearest(word.text, known))
+            raise DirectiveError(f"found '{word.text}'", nearest(word.text, known))
         return word.text
 
     return read
@@ -210,7 +210,7 @@
         if directive.rest is not None:
             try:
                 node.values["rest"] = directive.rest(words)
-            except Unfit as error:
+            except DirectiveError as error:
                 end = len(line.text.split("#")[0].rstrip()) + 1
                 self._problem(line.number, error.column or end, error.what, error.hint)
         elif words and directive.condition_after is not None and words[0].text == directive.condition_after:
@@ -248,9 +248,9 @@
         word = words.pop(0)
         try:
             node.values[argument.name] = argument.read(word)
-        except Unfit as error:
+        except DirectiveError as error:
             self._problem(line.number, word.column, error.what, error.hint)
-        except units.NoSuchUnit as error:
+        except units.UnknownUnitError as error:
             what, _, hint = str(error).partition(": ")
             self._problem(line.number, word.column, what, hint)
 
--- a/lotusstream/operator/units.py
+++ b/lotusstream/operator/units.py
@@ -10,14 +10,14 @@
 _PARTS = re.compile(r"(\d+(?:\.\d+)?)([A-Za-z]+)\Z")
 
 
-class NoSuchUnit(ValueError):
+class UnknownUnitError(ValueError):
     """A number without a unit, or with one that is not known here."""
 
 
 def _scaled(text: str, units: dict[str, int], like: str) -> int:
     found = _PARTS.match(text)
     if found is None or found[2] not in units:
-        raise NoSuchUnit(f"'{text}' has none of the units {', '.join(units)}: write it as in {like}")
+        raise UnknownUnitError(f"'{text}' has none of the units {', '.join(units)}: write it as in {like}")
     return round(float(found[1]) * units[found[2]])
 
 
@@ -34,7 +34,7 @@
 def parse_share(text: str) -> float:
     """0.2 of `20%`. Raises NoSuchUnit."""
     if not text.endswith("%"):
-        raise NoSuchUnit(f"'{text}' is no share: write it as in 20%")
+        raise UnknownUnitError(f"'{text}' is no share: write it as in 20%")
     return float(text[:-1]) / 100
 
 
--- a/lotusstream/operator/vocabulary.py
+++ b/lotusstream/operator/vocabulary.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lotusstream.interface import Further
+from lotusstream.interface import RetriesAllowed
 from lotusstream.operator.cells import CELLS
 from lotusstream.operator.fleet import FLEET
 from lotusstream.operator.tree import Argument, Directive, choice, name, number, path, share, size, time
@@ -30,7 +30,7 @@
     Directive(
         "further",
         "further sends: all, unrun (only where nothing may have run) or none",
-        (Argument("all, unrun or none", choice(*(each.value for each in Further))),),
+        (Argument("all, unrun or none", choice(*(each.value for each in RetriesAllowed))),),
     ),
     Directive(
         "advice", "the longest time that the refused are told to stay away", (Argument("a time", time),)
--- a/lotusstream/policy/affinity.py
+++ b/lotusstream/policy/affinity.py
@@ -13,7 +13,7 @@
 from heapq import nsmallest
 
 from lotusstream import interface as api
-from lotusstream.lots import drawn
+from lotusstream.rendezvous import unit_hash
 
 REFRESHED_AT_ONCE = 16  # endpoints whose groups are worked out in one turn
 
@@ -30,9 +30,9 @@
         self._kept, self._epoch_length, self._epoch = kept, epoch, 0
         self._groups, self._earlier = Counter[int](), Counter[int]()
         self._seen = self._seen_earlier = 0
-        self._keeps: dict[api.EngineId, frozenset[int]] = {}
-        self._kept_by: dict[int, dict[api.EngineId, None]] = {}
-        self._pending: deque[api.EngineId] = deque()
+        self._keeps: dict[api.EndpointId, frozenset[int]] = {}
+        self._kept_by: dict[int, dict[api.EndpointId, None]] = {}
+        self._pending: deque[api.EndpointId] = deque()
         self.version = 0  # counts the changes of what is kept where
 
     def record(self, now: int, group: int) -> bool:
@@ -52,19 +52,19 @@
         """The group's part of the requests, 0 to 1; drawn to nothing where few were seen."""
         return (self._groups[group] + self._earlier[group]) / (self._seen + self._seen_earlier + endpoints)
 
-    def enrol(self, engines: list[api.EngineId]) -> None:
+    def enrol(self, engines: list[api.EndpointId]) -> None:
         """Endpoints that groups may be kept at."""
         for engine in engines:
             if engine not in self._keeps:
                 self._keeps[engine] = frozenset()
                 self._pending.append(engine)
 
-    def remove(self, engine: api.EngineId) -> None:
+    def remove(self, engine: api.EndpointId) -> None:
         if engine in self._keeps:
             self._set(engine, frozenset())
             del self._keeps[engine]
 
-    def kept_by(self, group: int) -> list[api.EngineId]:
+    def kept_by(self, group: int) -> list[api.EndpointId]:
         """The endpoints that keep a group."""
         return list(self._kept_by.get(group, ()))
 
@@ -77,10 +77,10 @@
         for _ in range(min(REFRESHED_AT_ONCE, len(self._pending))):
             engine = self._pending.popleft()
             if engine in self._keeps:
-                draws = [(-math.log(drawn(engine, seed)) / count, group) for seed, group, count in seen]
+                draws = [(-math.log(unit_hash(engine, seed)) / count, group) for seed, group, count in seen]
                 self._set(engine, frozenset(group for _, group in nsmallest(self._kept, draws)))
 
-    def _set(self, engine: api.EngineId, groups: frozenset[int]) -> None:
+    def _set(self, engine: api.EndpointId, groups: frozenset[int]) -> None:
         before = self._keeps.get(engine, frozenset())
         if groups == before:
             return
--- a/lotusstream/policy/estimates.py
+++ b/lotusstream/policy/estimates.py
@@ -6,17 +6,17 @@
 
 from lotusstream import interface as api
 from lotusstream.policy.state import BUCKETS
-from lotusstream.ring import Ring
+from lotusstream.sliding_window import SlidingWindow
 
 
 class ProfileEstimates:
     """What a profile's commands usually take, learnt from whatever the deployment tells."""
 
     def __init__(self, profile: api.Profile, longest: int) -> None:
-        self.guess = profile.target * profile.threads / 2.0
+        self.guess = profile.latency_objective * profile.threads / 2.0
         span = 4 * profile.client_timeout
-        self.work, self.hints, self.latency_ratios = (Ring(span, BUCKETS) for _ in range(3))
-        self.asked = Ring(4 * longest, BUCKETS)  # of all profiles over one span: they are compared
+        self.work, self.hints, self.latency_ratios = (SlidingWindow(span, BUCKETS) for _ in range(3))
+        self.asked = SlidingWindow(4 * longest, BUCKETS)  # of all profiles over one span: they are compared
 
     def mean(self, now: int) -> float:
         return self.work.mean(now, self.guess, 1.0)
--- a/lotusstream/policy/gateway.py
+++ b/lotusstream/policy/gateway.py
@@ -12,15 +12,23 @@
 from collections import deque
 
 from lotusstream import interface as api
-from lotusstream.interface import Effect, Further, ListKind, Note, Outcome, Reason, State
-from lotusstream.lots import drawn
+from lotusstream.interface import (
+    EndpointListKind,
+    EndpointStatus,
+    Idempotency,
+    Outcome,
+    ProgressKind,
+    RejectionReason,
+    RetriesAllowed,
+)
 from lotusstream.policy.affinity import Affinity, group_seed
 from lotusstream.policy.catalog import Catalog, Domain, EntryChange, gone
 from lotusstream.policy.estimates import ProfileEstimates
 from lotusstream.policy.limits import ENOUGH, OPEN_FACTOR, RUNAWAY_RATIO, ConcurrencyLimits, fits
 from lotusstream.policy.overload import QueueDelay
 from lotusstream.policy.state import BUCKETS, Attempt, Endpoint, Pool, Request
-from lotusstream.ring import Ring
+from lotusstream.rendezvous import unit_hash
+from lotusstream.sliding_window import SlidingWindow
 
 SAMPLE = 5  # k of SMF: requests that a choice compares
 WARM_GROUPS = 4  # table groups that an endpoint keeps warm
@@ -50,7 +58,7 @@
 class Gateway:
     def __init__(self) -> None:
         self.actions: list[api.Action] = []
-        self.endpoints: dict[api.EngineId, Endpoint] = {}  # by their last send, the longest ago first
+        self.endpoints: dict[api.EndpointId, Endpoint] = {}  # by their last send, the longest ago first
         self.open: dict[int, Request] = {}
         self.waiting: dict[int, Request] = {}
         self.postponed: list[int] = []  # held ones that the last moment did not come to
@@ -59,33 +67,33 @@
         self.evaluate_at: int | None = None  # when time alone may change something
         self.woken_for: int | None = None
         self.pools: dict[int | None, Pool] = {}  # by name; without cells all engines are of one
-        self.cells: dict[int, api.Confined] = {}
-        self.pool_of: dict[api.EngineId, int] = {}
-        self.affinity_sets: dict[object, dict[api.EngineId, None]] = {}
-        self.told_start_at: dict[api.EngineId, int] = {}  # of starts that the clock can't have right
-        self.ran_at: dict[int, dict[api.EngineId, None]] = {}  # engines that ran a group lately
+        self.cells: dict[int, api.CellEndpointsChanged] = {}
+        self.pool_of: dict[api.EndpointId, int] = {}
+        self.affinity_sets: dict[object, dict[api.EndpointId, None]] = {}
+        self.told_start_at: dict[api.EndpointId, int] = {}  # of starts that the clock can't have right
+        self.ran_at: dict[int, dict[api.EndpointId, None]] = {}  # engines that ran a group lately
         self.spare: dict[tuple[int, int], float] = {}  # by zone and kind: the part left by bound profiles
         self.draws, self.stop_by = 0, NEVER
         self.queue_delay = QueueDelay()
-        self.reduced: api.Reduced | None = None
+        self.reduced: api.DegradationChanged | None = None
         self.reactions = {
-            api.Started: self._start,
-            api.EngineNews: self._learn_engines,
-            api.Arrived: self._take,
-            api.Ended: self._end_try,
-            api.Noted: self._note,
-            api.Probed: self._probed,
-            api.Woken: self._woken,
-            api.ClientGone: self._client_gone,
-            api.Stopping: self._stop,
-            api.Settled: self._settle,
-            api.Reduced: self._reduce,
-            api.Asked: self._tell_beliefs,
-            api.Confined: self._confine,
-            api.Rehomed: self._rehome,
-            api.Dropped: self._drop,
-            api.RanElsewhere: self._recall,
-            api.Hearsay: self._take_peer_report,
+            api.GatewayStarted: self._start,
+            api.EndpointListReceived: self._learn_engines,
+            api.RequestReceived: self._take,
+            api.AttemptEnded: self._end_try,
+            api.AttemptProgressed: self._note,
+            api.HealthCheckEnded: self._probed,
+            api.TimerFired: self._woken,
+            api.ClientDisconnected: self._client_gone,
+            api.ShutdownStarted: self._stop,
+            api.BatchEnded: self._settle,
+            api.DegradationChanged: self._reduce,
+            api.SnapshotRequested: self._tell_beliefs,
+            api.CellEndpointsChanged: self._confine,
+            api.RequestMigrated: self._rehome,
+            api.RequestWithdrawn: self._drop,
+            api.ExecutedElsewhere: self._recall,
+            api.PeerHealthReported: self._take_peer_report,
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
@@ -103,27 +111,29 @@
 
     # What is told
 
-    def _start(self, event: api.Started) -> None:
+    def _start(self, event: api.GatewayStarted) -> None:
         self.seed = zlib.crc32(event.seed.to_bytes(8, "little"))
-        self.given, self.duties, self.allowed = event, event.duties, event.allowed
-        self.shortest = min(profile.target for profile in event.profiles)
-        self.even = self.share = 1.0 / event.gateways
+        self.given, self.duties, self.allowed = event, event.rule_limits, event.capabilities
+        self.shortest = min(profile.latency_objective for profile in event.profiles)
+        self.even = self.share = 1.0 / event.gateway_count
         self.limits = ConcurrencyLimits(self.shortest)
         self.catalog = Catalog(self.seed, self.even, self._cores)
         self.affinity = Affinity(WARM_GROUPS, 16 * self.shortest)
-        self.in_hand, self.pools[None] = Ring(4 * self.shortest, BUCKETS), self._new_pool()
+        self.in_hand, self.pools[None] = SlidingWindow(4 * self.shortest, BUCKETS), self._new_pool()
         self.unprobed, self.probed = 0, int(self._chance() * PROBE_EVERY)
-        self.evaluation_interval = max(event.period, self.shortest // 20)
-        self.taken, self.retries_made = (Ring(self.duties.extra_span, BUCKETS) for _ in range(2))
-        if self.allowed.must_subscribe:
-            self.actions.append(api.Subscribe(True))
-
-    def _learn_engines(self, event: api.EngineNews) -> None:
-        if event.kind is ListKind.FAILED:
-            self.actions.append(api.Subscribe(True))
+        self.evaluation_interval = max(event.batch_interval, self.shortest // 20)
+        self.taken, self.retries_made = (
+            SlidingWindow(self.duties.retry_budget_window, BUCKETS) for _ in range(2)
+        )
+        if self.allowed.requires_subscription:
+            self.actions.append(api.SetListSubscription(True))
+
+    def _learn_engines(self, event: api.EndpointListReceived) -> None:
+        if event.kind is EndpointListKind.FAILED:
+            self.actions.append(api.SetListSubscription(True))
             return
         at_start = not self.catalog.entries
-        changes = self.catalog.apply(event.engines, whole=event.kind is not ListKind.CHANGES)
+        changes = self.catalog.apply(event.endpoints, whole=event.kind is not EndpointListKind.DELTA)
         for change in changes:
             self._note_start(change, at_start)
             self._follow(change)
@@ -139,9 +149,9 @@
         if entry is not None and change.before is not None and not change.restarted:
             return
         self.told_start_at.pop(change.id, None)
-        if entry is None or not entry.started:
+        if entry is None or not entry.started_at:
             return
-        age = self.now - entry.started
+        age = self.now - entry.started_at
         if age < 0 or (age > LONGEST_TOLD_AFTER and not at_start):
             self.told_start_at[change.id] = self.now
 
@@ -159,7 +169,7 @@
             return
         if change.after is None:
             known.entry = gone(known.entry)
-        elif known.entry.started != change.after.started:
+        elif known.entry.started_at != change.after.started_at:
             fresh = self.endpoints[change.id] = self._new_endpoint(change.after)
             fresh.out, fresh.threads = known.out, known.threads
             pool.discount(known)
@@ -177,7 +187,7 @@
 
     def _drop_if_gone(self, endpoint: Endpoint) -> None:
         """One that is gone stays known while it owes outcomes: a key's turn may hang on them."""
-        if endpoint.entry.state is State.GONE and not endpoint.out:
+        if endpoint.entry.status is EndpointStatus.REMOVED and not endpoint.out:
             self._drop_endpoint(endpoint)
 
     def _drop_endpoint(self, endpoint: Endpoint) -> None:
@@ -193,17 +203,17 @@
         if not ran:
             self.ran_at.pop(group, None)
 
-    def _new_endpoint(self, entry: api.Engine) -> Endpoint:
+    def _new_endpoint(self, entry: api.EndpointEntry) -> Endpoint:
         """An engine of which this gateway knows what is listed and no more. When its windows begin follows
         from its name: it may be looked at any number of times before it is kept."""
         pool = self._pool_of(entry.id)
         made = Endpoint(entry, pool, self._cores(entry.kind), 8 * self.shortest, RETRY_CREDIT_START)
-        if entry.started:
-            phase = drawn(entry.id, self.seed ^ entry.started & 0xFFFFFFFF)
-            made.begin_slow_start(self.told_start_at.get(entry.id, entry.started), phase)
+        if entry.started_at:
+            phase = unit_hash(entry.id, self.seed ^ entry.started_at & 0xFFFFFFFF)
+            made.begin_slow_start(self.told_start_at.get(entry.id, entry.started_at), phase)
         return made
 
-    def _endpoint(self, engine: api.EngineId) -> Endpoint:
+    def _endpoint(self, engine: api.EndpointId) -> Endpoint:
         """What is known of a listed engine."""
         return self.endpoints.get(engine) or self._new_endpoint(self.catalog.entries[engine])
 
@@ -224,38 +234,38 @@
             else:
                 self._drop_endpoint(oldest)
 
-    def _pool_of(self, engine: api.EngineId) -> Pool:
+    def _pool_of(self, engine: api.EndpointId) -> Pool:
         return self.pools[self.pool_of.get(engine) if self.pool_of else None]
 
     def _new_pool(self) -> Pool:
         longest = max(profile.client_timeout for profile in self.given.profiles)
         estimates = [ProfileEstimates(profile, longest) for profile in self.given.profiles]
-        return Pool(Ring(8 * self.shortest, BUCKETS), estimates, OPEN_FACTOR)
+        return Pool(SlidingWindow(8 * self.shortest, BUCKETS), estimates, OPEN_FACTOR)
 
-    def _confine(self, event: api.Confined) -> None:
+    def _confine(self, event: api.CellEndpointsChanged) -> None:
         """Guards the tenants of one cell against what those of another do to their engines."""
-        if event.engines:
+        if event.endpoint_ids:
             self.cells[event.cell] = event
         else:
             self.cells.pop(event.cell, None)
         self.pools.setdefault(event.pool, self._new_pool())
-        self.pool_of = {engine: cell.pool for cell in self.cells.values() for engine in cell.engines}
+        self.pool_of = {engine: cell.pool for cell in self.cells.values() for engine in cell.endpoint_ids}
         self.catalog.forget_domains()
         self.affinity_sets.clear()
         self._regroup()
         self._share_out()
 
-    def _rehome(self, event: api.Rehomed) -> None:
-        if request := self.open.get(event.command):
+    def _rehome(self, event: api.RequestMigrated) -> None:
+        if request := self.open.get(event.request_id):
             request.cell, cell = event.cell, self.cells.get(event.cell)
             request.pool = self.pools[cell.pool if cell else None]
 
-    def _drop(self, event: api.Dropped) -> None:
-        if request := self.open.get(event.command):
-            self._reject(request, Reason.WITHDRAWN)
+    def _drop(self, event: api.RequestWithdrawn) -> None:
+        if request := self.open.get(event.request_id):
+            self._reject(request, RejectionReason.WITHDRAWN)
 
-    def _recall(self, event: api.RanElsewhere) -> None:
-        if request := self.open.get(event.command):
+    def _recall(self, event: api.ExecutedElsewhere) -> None:
+        if request := self.open.get(event.request_id):
             request.earlier.append(event)
 
     def _regroup(self) -> None:
@@ -266,29 +276,31 @@
                 pool.discount(endpoint)
             pool.changed.clear()
         for entry in self.catalog.entries.values():
-            if entry.state is State.READY:
+            if entry.status is EndpointStatus.READY:
                 self._pool_of(entry.id).cores += self._cores(entry.kind)
         for endpoint in self.endpoints.values():
             endpoint.pool = self._pool_of(endpoint.entry.id)
             endpoint.pool.out += endpoint.threads
             endpoint.pool.changed[endpoint] = None
 
-    def _take(self, event: api.Arrived) -> None:
+    def _take(self, event: api.RequestReceived) -> None:
         cell = self.cells.get(event.cell) if event.cell is not None else None
         pool = self.pools[cell.pool if cell else None]
         profile, estimates = self.given.profiles[event.profile], pool.estimates[event.profile]
-        work = estimates.estimate(self.now, event.hint)
+        work = estimates.estimate(self.now, event.work_hint)
         deadline = min(self.now + event.client_timeout, self.stop_by)
-        stretch = profile.stretch * work / profile.threads if event.hint else 0.0  # most lie under the mean
-        soft_deadline = min(int(self.now + profile.target + stretch), deadline)
+        stretch = (
+            profile.objective_stretch * work / profile.threads if event.work_hint else 0.0
+        )  # most lie under the mean
+        soft_deadline = min(int(self.now + profile.latency_objective + stretch), deadline)
         weight = estimates.work.mean(self.now, 2 * estimates.guess, 4.0)
-        request = self.open[event.command] = self.waiting[event.command] = Request(
-            event.command,
+        request = self.open[event.request_id] = self.waiting[event.request_id] = Request(
+            event.request_id,
             event.profile,
             profile,
             event.group,
-            event.key if profile.in_order else None,
-            event.hint,
+            event.key if profile.ordered_by_key else None,
+            event.work_hint,
             work,
             weight,
             soft_deadline,
@@ -304,55 +316,58 @@
         if self.affinity.record(self.now, request.group):
             self._share_out()  # guards bound engines from the first commands on, not an epoch later
         self.unprobed += 1
-        if self.unprobed >= PROBE_EVERY and self.allowed.probes and self.given.tells_in_hand:
+        if self.unprobed >= PROBE_EVERY and self.allowed.health_checks and self.given.reports_in_flight:
             self._probe()
         too_late = deadline - self.now <= 2 * self.evaluation_interval  # nothing can be done
-        if self.queue_delay.refuses(self.now, event.waited):
-            self._reject(request, Reason.OVERLOADED)
+        if self.queue_delay.refuses(self.now, event.queue_delay):
+            self._reject(request, RejectionReason.OVERLOADED)
         elif too_late:
-            self._reject(request, Reason.TOO_LATE)
+            self._reject(request, RejectionReason.TOO_LATE)
         elif not self._admitted(request):
-            self._reject(request, Reason.REDUCED)
+            self._reject(request, RejectionReason.REDUCED)
 
     def _probe(self) -> None:
         every = self._domain(None, None)
         if len(every):
             self.unprobed, self.probed = 0, self.probed + 1
-            self.actions.append(api.Probe(every.at(self.probed % len(every))))
+            self.actions.append(api.StartHealthCheck(every.at(self.probed % len(every))))
 
-    def _client_gone(self, event: api.ClientGone) -> None:
-        if request := self.open.get(event.command):
+    def _client_gone(self, event: api.ClientDisconnected) -> None:
+        if request := self.open.get(event.request_id):
             self._forget(request)
 
-    def _stop(self, event: api.Stopping) -> None:
+    def _stop(self, event: api.ShutdownStarted) -> None:
         """Guards what is open at a planned stop: answered while there is a gateway to answer it."""
-        self.stop_by = event.by
+        self.stop_by = event.deadline
         for request in self.open.values():
             request.deadline, request.soft_deadline = (
-                min(request.deadline, event.by),
-                min(request.soft_deadline, event.by),
+                min(request.deadline, event.deadline),
+                min(request.soft_deadline, event.deadline),
             )
         self._plan_evaluation(self.now)
 
-    def _reduce(self, event: api.Reduced) -> None:
+    def _reduce(self, event: api.DegradationChanged) -> None:
         """The level of reduced service: what it does not admit and was not sent yet is answered at once."""
-        self.reduced = None if event.full else event
+        self.reduced = None if event.is_full_service else event
         for request in [
             request
             for request in self.waiting.values()
             if not request.attempts and not self._admitted(request)
         ]:
-            self._reject(request, Reason.REDUCED)
+            self._reject(request, RejectionReason.REDUCED)
 
     def _admitted(self, request: Request) -> bool:
         """By the command's lot: a lower part admits none that a higher one would not."""
-        return self.reduced is None or request.tie_break_seed < self.reduced.admitted[request.kind] * 2**32
+        return (
+            self.reduced is None
+            or request.tie_break_seed < self.reduced.admitted_ratios[request.kind] * 2**32
+        )
 
-    def _tell_beliefs(self, _event: api.Asked) -> None:
+    def _tell_beliefs(self, _event: api.SnapshotRequested) -> None:
         beliefs = [
-            api.Belief(
+            api.EndpointSnapshot(
                 endpoint.entry.id,
-                endpoint.entry.state,
+                endpoint.entry.status,
                 endpoint.entry.zone,
                 endpoint.entry.kind,
                 endpoint.cores,
@@ -374,7 +389,7 @@
             for pick, name in ((max, "baseline_ratio"), (any, "overloaded"))
         )
         self.actions.append(
-            api.Believed(
+            api.GatewaySnapshot(
                 tuple(beliefs), self.share, baseline_ratio, overloaded, len(self.open), len(self.waiting)
             )
         )
@@ -382,62 +397,64 @@
     def _known(self) -> list[Endpoint]:
         listed = [self._endpoint(engine) for engine in self.catalog.entries]
         return listed + [
-            endpoint for endpoint in self.endpoints.values() if endpoint.entry.state is State.GONE
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.entry.status is EndpointStatus.REMOVED
         ]
 
-    def _woken(self, event: api.Woken) -> None:
+    def _woken(self, event: api.TimerFired) -> None:
         self.woken_for = None if event.token == self.woken_for else self.woken_for
 
-    def _probed(self, event: api.Probed) -> None:
-        if event.engine in self.catalog.entries and event.report and event.report.in_hand is not None:
+    def _probed(self, event: api.HealthCheckEnded) -> None:
+        if event.endpoint_id in self.catalog.entries and event.report and event.report.in_flight is not None:
             own = sum(len(endpoint.out) for endpoint in self.endpoints.values()) / max(1, self.catalog.ready)
-            self.in_hand.add(self.now, own, max(event.report.in_hand, own))
+            self.in_hand.add(self.now, own, max(event.report.in_flight, own))
             own, everyone = self.in_hand.total(self.now)
             self.share = max(self.even / 2, (own + 10 * self.even) / (everyone + 10))
 
-    def _note(self, event: api.Noted) -> None:
-        endpoint = self.endpoints.get(event.engine)
-        if endpoint is None or (held := endpoint.out.get(event.command << 8 | event.send)) is None:
+    def _note(self, event: api.AttemptProgressed) -> None:
+        endpoint = self.endpoints.get(event.endpoint_id)
+        if endpoint is None or (held := endpoint.out.get(event.request_id << 8 | event.attempt)) is None:
             return
         (request, attempt), endpoint.heard = held, self.now
-        if event.note is Note.PROGRESS and event.amount > 0:
+        if event.kind is ProgressKind.PROGRESS and event.amount > 0:
             age = self.now - attempt.at
             attempt.finish, attempt.told = attempt.at + age / min(1.0, event.amount), True
-            if request.profile.loads and endpoint.loads.get(request.group, (None, 0))[0] is request:
+            if request.profile.is_load and endpoint.loads.get(request.group, (None, 0))[0] is request:
                 endpoint.loads[request.group] = (request, attempt.finish)
             self._plan_evaluation(self.now)
-        elif event.note is Note.WAITS_FOR_LOAD:
+        elif event.kind is ProgressKind.WAITS_FOR_LOAD:
             attempt.stalled = True
             endpoint.loads.setdefault(
                 request.group, (None, self.now + self.shortest)
             )  # another gateway's load
 
-    def _end_try(self, event: api.Ended) -> None:
-        endpoint = self.endpoints.get(event.engine)
-        held = endpoint.ends(event.command << 8 | event.send) if endpoint else None
+    def _end_try(self, event: api.AttemptEnded) -> None:
+        endpoint = self.endpoints.get(event.endpoint_id)
+        held = endpoint.ends(event.request_id << 8 | event.attempt) if endpoint else None
         if endpoint and held:
             self._judge(endpoint, *held, event)
             self._drop_if_gone(endpoint)
-        request = held[0] if held else self.open.get(event.command)
-        if request is None or event.send >= len(request.attempts):
+        request = held[0] if held else self.open.get(event.request_id)
+        if request is None or event.attempt >= len(request.attempts):
             return
-        request.attempts[event.send].outcome = event.outcome
-        if request.key is not None and event.outcome in api.MAY_STILL_RUN:
-            self.key_quarantine[request.key] = self.now + self.duties.key_rest
+        request.attempts[event.attempt].outcome = event.outcome
+        if request.key is not None and event.outcome in api.MAY_STILL_BE_RUNNING:
+            self.key_quarantine[request.key] = self.now + self.duties.key_quarantine
         if request.id not in self.open:
             self._leave_key_order(request)
-        elif event.over or event.outcome is Outcome.ANSWERED:
+        elif event.request_finished or event.outcome is Outcome.ANSWERED:
             self._forget(request)
         elif not request.out and self._may_send_again(request):
             self.waiting[request.id] = request
         elif not request.out:
-            self._reject(request, Reason.ATTEMPTS)
+            self._reject(request, RejectionReason.ATTEMPTS)
 
-    def _judge(self, endpoint: Endpoint, request: Request, attempt: Attempt, event: api.Ended) -> None:
+    def _judge(self, endpoint: Endpoint, request: Request, attempt: Attempt, event: api.AttemptEnded) -> None:
         """An engine earns credit by its answers and is judged by failures in a row."""
-        if request.profile.loads and endpoint.loads.get(request.group, (None, 0))[0] is request:
+        if request.profile.is_load and endpoint.loads.get(request.group, (None, 0))[0] is request:
             del endpoint.loads[request.group]
-        endpoint.heard = self.now if event.heard else endpoint.heard
+        endpoint.heard = self.now if event.endpoint_responded else endpoint.heard
         if event.outcome is Outcome.ANSWERED:
             endpoint.retry_credit = min(RETRY_CREDIT_MOST, endpoint.retry_credit + RETRY_CREDIT_PER_ANSWER)
             if (
@@ -466,7 +483,7 @@
             Outcome.ERROR if request.erred else None,
         ):
             endpoint.lost = (
-                endpoint.lost or not event.heard
+                endpoint.lost or not event.endpoint_responded
             )  # what answers has not ended, nor has what it runs
             # a refused connection where nothing else was heard lately tells as much as several late answers
             refused = event.outcome is Outcome.CONNECT_FAILED and self.now - endpoint.heard > self.shortest
@@ -483,11 +500,11 @@
         span = self.shortest * min(4, endpoint.failures - EJECTING_FAILURES + 1) * (0.5 + self._chance())
         endpoint.ejected_at, endpoint.ejected_until = self.now, self.now + int(span)
 
-    def _take_peer_report(self, event: api.Hearsay) -> None:
+    def _take_peer_report(self, event: api.PeerHealthReported) -> None:
         """Another's word sets nobody aside. It ends a time aside, at once for some and soon for all: guards
         what has come back against all gateways' trials in one moment. Or it spares trials, for so long."""
-        endpoint = self.endpoints.get(event.engine)
-        if endpoint and endpoint.ejected_until and event.answers:
+        endpoint = self.endpoints.get(event.endpoint_id)
+        if endpoint and endpoint.ejected_until and event.is_healthy:
             endpoint.ejected_until = min(
                 endpoint.ejected_until, self.now + int(self.shortest * self._chance())
             )
@@ -511,9 +528,9 @@
         self._leave_key_order(request)
 
     def _cancel(self, request: Request, attempt: Attempt) -> None:
-        if self.allowed.cancelling and not attempt.cancelled:
+        if self.allowed.cancellation and not attempt.cancelled:
             attempt.cancelled = True
-            self.actions.append(api.Cancel(request.id, attempt.number))
+            self.actions.append(api.CancelAttempt(request.id, attempt.number))
 
     def _leave_key_order(self, request: Request) -> None:
         if request.key is None or request.out or request.id in self.open:
@@ -525,43 +542,45 @@
             self.order_by_key.pop(request.key, None)
             self.key_quarantine.pop(request.key, None)
 
-    def _reject(self, request: Request, reason: Reason) -> None:
+    def _reject(self, request: Request, reason: RejectionReason) -> None:
         """The final answer at once: a shed reply where a repeat is harmless, otherwise a failure."""
-        advice = self.allowed.longest_advice
+        advice = self.allowed.max_retry_after
         if self.reduced:  # guards against all that was refused coming back as one
-            most = self.reduced.longest_advice
+            most = self.reduced.max_retry_after
             advice = int(min(advice, advice if most is None else most) * (1 + self._chance()) / 2)
         dropped = (
-            request.profile.effect is Effect.UNIQUED
-            and request.profile.scope is api.Scope.ALL
+            request.profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and request.profile.deduplication_scope is api.DeduplicationScope.ALL
             and self._remembered(request, advice)
         )
-        harmless = request.profile.effect is Effect.REPLAYABLE or dropped or not request.ran
+        harmless = request.profile.idempotency is Idempotency.IDEMPOTENT or dropped or not request.ran
         reduced = not request.attempts and not self._admitted(request)
         self.actions.append(
-            api.Shed(request.id, advice, reduced, reason) if harmless else api.Fail(request.id, reason)
+            api.RejectRequest(request.id, advice, reduced, reason)
+            if harmless
+            else api.FailRequest(request.id, reason)
         )
         self._forget(request)
 
     def _remembered(self, request: Request, after: int) -> bool:
         """A repeat that comes after that time is still dropped by engines, even if it connects late."""
         ran, by = request.ran, self.now + after + self.evaluation_interval + self.allowed.connect_timeout
-        return not ran or by < ran[0].at + request.profile.remembered_for
+        return not ran or by < ran[0].at + request.profile.deduplication_window
 
     def _may_send_again(self, request: Request) -> bool:
         # guards all engines against commands that none can use: an error of two is the command's own
         if (
-            len(request.attempts) >= self.allowed.sends
+            len(request.attempts) >= self.allowed.max_attempts
             or self.now >= request.deadline
             or len(request.erred) > 1
         ):
             return False
-        off = {Further.NONE: bool(request.attempts), Further.UNRUN: bool(request.ran)}
-        if self.reduced and off.get(self.reduced.further):
+        off = {RetriesAllowed.NONE: bool(request.attempts), RetriesAllowed.IF_NOT_EXECUTED: bool(request.ran)}
+        if self.reduced and off.get(self.reduced.retries_allowed):
             return False
-        if request.profile.effect is Effect.NON_REPLAYABLE:
+        if request.profile.idempotency is Idempotency.NOT_IDEMPOTENT:
             return not request.ran
-        return request.profile.effect is Effect.REPLAYABLE or self._remembered(request, 0)
+        return request.profile.idempotency is Idempotency.IDEMPOTENT or self._remembered(request, 0)
 
     # Where a command may go
 
@@ -569,11 +588,11 @@
         """The engines that a profile's commands of a cell may go to."""
         zones, kinds = (profile.zones, profile.kinds) if profile else (None, None)
         if cell is None:
-            return self.catalog.domain((zones, kinds, None), profile.open_to if profile else _any)
-        inside = self.cells[cell].engines if cell in self.cells else frozenset[api.EngineId]()
+            return self.catalog.domain((zones, kinds, None), profile.admits if profile else _any)
+        inside = self.cells[cell].endpoint_ids if cell in self.cells else frozenset[api.EndpointId]()
         return self.catalog.domain(
             (zones, kinds, cell),
-            lambda entry: entry.id in inside and (profile is None or profile.open_to(entry)),
+            lambda entry: entry.id in inside and (profile is None or profile.admits(entry)),
         )
 
     def _allowed_there(self, request: Request, endpoint: Endpoint) -> bool:
@@ -583,9 +602,11 @@
         if request.attempts and endpoint.retry_credit < 1:
             return False
         profile, entry = request.profile, endpoint.entry
-        if profile.effect is Effect.UNIQUED and (ran := request.ran):
+        if profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and (ran := request.ran):
             zone, cell = ran[0].zone == entry.zone, ran[0].cell == entry.cell
-            if not {api.Scope.ZONE: zone, api.Scope.CELL: cell}.get(profile.scope, True):
+            if not {api.DeduplicationScope.ZONE: zone, api.DeduplicationScope.CELL: cell}.get(
+                profile.deduplication_scope, True
+            ):
                 return False
         return not self._in_slow_start(endpoint) or self._slow_start_admits(endpoint, request.weight)
 
@@ -593,7 +614,11 @@
         return self._slow_start_ends_at(endpoint) is not None
 
     def _slow_start_ends_at(self, endpoint: Endpoint) -> int | None:
-        until = None if endpoint.slow_start_at is None else endpoint.slow_start_at + self.duties.warm_up
+        until = (
+            None
+            if endpoint.slow_start_at is None
+            else endpoint.slow_start_at + self.duties.slow_start_duration
+        )
         return until if until is not None and self.now < until else None
 
     def _slow_start_admits(self, endpoint: Endpoint, weight: float) -> bool:
@@ -602,31 +627,34 @@
         less than the command, it draws for each window whether it may send one; windows begin at another
         time for each gateway, and the sum keeps to the budget on average. Nothing is saved up, and what was
         drawn holds for a part of the window: a moment that is everyone's takes of that much more at most."""
-        duties, span = self.duties, self.duties.overload_for
-        age = min(1.0, max(0, self.now - (endpoint.slow_start_at or 0)) / max(1, duties.warm_up))
-        climbed = duties.cold_from + (1 - duties.cold_from) * age * age  # not told; slower than evenly
-        part = duties.fall_multiple * climbed * endpoint.cores * SLOW_START_MARGIN * self.even * span
-        endpoint.slow_start_work = endpoint.slow_start_work or Ring(span, BUCKETS)
+        duties, span = self.duties, self.duties.overload_window
+        age = min(1.0, max(0, self.now - (endpoint.slow_start_at or 0)) / max(1, duties.slow_start_duration))
+        climbed = (
+            duties.slow_start_initial_ratio + (1 - duties.slow_start_initial_ratio) * age * age
+        )  # not told; slower than evenly
+        part = duties.overload_multiple * climbed * endpoint.cores * SLOW_START_MARGIN * self.even * span
+        endpoint.slow_start_work = endpoint.slow_start_work or SlidingWindow(span, BUCKETS)
         if weight <= part:
             return weight <= part - endpoint.slow_start_work.total(self.now)[0]
         turn, passed = divmod(self.now + int(endpoint.phase * span), span)
-        tie_break_seed = drawn(endpoint.entry.id, zlib.crc32(turn.to_bytes(8, "little"), self.seed))
+        tie_break_seed = unit_hash(endpoint.entry.id, zlib.crc32(turn.to_bytes(8, "little"), self.seed))
         free_capacity = part - endpoint.slow_start_work.total(self.now, covering=False)[0]
         return passed < ADMITTED_PART * span and tie_break_seed * weight <= free_capacity
 
     def _added_stall(self, request: Request, endpoint: Endpoint) -> float:
         """SMF's added cost: the stall behind this gateway's running load, and that a load gives readers."""
         profile, stall = request.profile, 0.0
-        if request.group in endpoint.loads and (profile.loads or profile.waits):
+        if request.group in endpoint.loads and (profile.is_load or profile.waits_for_loads):
             load, ends = endpoint.loads[request.group]
             if load is None and ends <= self.now:
                 del endpoint.loads[request.group]
             else:  # a load that outruns its estimate still has time left
                 began = load.attempts[-1].at if load else self.now
                 stall = max(ends - self.now, (self.now - began) / 4)
-        if profile.loads:
+        if profile.is_load:
             readers = sum(
-                other.group == request.group and other.profile.waits for other, _ in endpoint.out.values()
+                other.group == request.group and other.profile.waits_for_loads
+                for other, _ in endpoint.out.values()
             )
             others = self.share < 0.5 and endpoint.entry.id in self._affinity_set(request)  # their readers
             stall += (readers + others) * request.work / profile.threads
@@ -643,7 +671,7 @@
         classes = self.catalog.cores_by_class
         self.spare = dict.fromkeys(classes, 1.0)
         for profile, work in zip(self.given.profiles, asked, strict=True):
-            if not profile.bound:
+            if not profile.is_restricted:
                 continue
             bound = [each for each in classes if _class_open_to(profile, *each)]
             if level and len(bound) < len(classes):
@@ -652,12 +680,12 @@
                     self.spare[each] = max(0.1, self.spare[each] - taken)
         self.affinity_sets.clear()
 
-    def _draw(self, seed: int, profile: api.Profile, entry: api.Engine) -> float:
+    def _draw(self, seed: int, profile: api.Profile, entry: api.EndpointEntry) -> float:
         """A lot by hash, least for the engine drawn: fair by what each has to give."""
-        part = 1.0 if profile.bound else self.spare.get((entry.zone, entry.kind), 1.0)
-        return -math.log(drawn(entry.id, seed)) / (self._cores(entry.kind) * part)
+        part = 1.0 if profile.is_restricted else self.spare.get((entry.zone, entry.kind), 1.0)
+        return -math.log(unit_hash(entry.id, seed)) / (self._cores(entry.kind) * part)
 
-    def _affinity_set(self, request: Request) -> dict[api.EngineId, None]:
+    def _affinity_set(self, request: Request) -> dict[api.EndpointId, None]:
         """The engines where all gateways run a group, agreed without a word by hashing both: two at least.
         Each is home to as many groups as it keeps warm, by lots weighted with what these draw of commands:
         guards engines against being home to many hot groups while others are home to none."""
@@ -667,7 +695,7 @@
             self.affinity_sets[name] = self._agreed_affinity_set(request, domain)
         return self.affinity_sets[name]
 
-    def _agreed_affinity_set(self, request: Request, domain: Domain) -> dict[api.EngineId, None]:
+    def _agreed_affinity_set(self, request: Request, domain: Domain) -> dict[api.EndpointId, None]:
         preferred = domain.preferred
         self.affinity.enrol(domain.first(preferred))
         rank = self.catalog.rank
@@ -688,14 +716,18 @@
         ]
         return dict.fromkeys([engine for _, _, engine in sorted(draws)[:count]])
 
-    def _is_home(self, request: Request, domain: Domain, engine: api.EngineId) -> bool:
+    def _is_home(self, request: Request, domain: Domain, engine: api.EndpointId) -> bool:
         entry = self.catalog.entries.get(engine)
-        if entry is None or entry.state is not State.READY or not domain.prefers(self.catalog.rank(engine)):
+        if (
+            entry is None
+            or entry.status is not EndpointStatus.READY
+            or not domain.prefers(self.catalog.rank(engine))
+        ):
             return False
-        if not request.profile.open_to(entry):
+        if not request.profile.admits(entry):
             return False
         return request.cell is None or (
-            request.cell in self.cells and engine in self.cells[request.cell].engines
+            request.cell in self.cells and engine in self.cells[request.cell].endpoint_ids
         )
 
     def _place(self, request: Request) -> tuple[float, float, float, Endpoint] | None:
@@ -719,8 +751,8 @@
         return self._best_of(request, affinity_set, [self._endpoint(engine) for engine in [*seen][before:]])
 
     def _warm_sample(
-        self, request: Request, domain: Domain, affinity_set: dict[api.EngineId, None]
-    ) -> list[api.EngineId]:
+        self, request: Request, domain: Domain, affinity_set: dict[api.EndpointId, None]
+    ) -> list[api.EndpointId]:
         """Some engines that keep the command's group warm, as agreed or as this gateway has seen."""
         if affinity_set:
             warm = [*affinity_set]
@@ -736,7 +768,7 @@
         return (warm + warm)[begin : begin + WARM_SAMPLED]
 
     def _sample(
-        self, domain: Domain, count: int, seen: dict[api.EngineId, None], *, preferred: bool = True
+        self, domain: Domain, count: int, seen: dict[api.EndpointId, None], *, preferred: bool = True
     ) -> None:
         """Adds as many engines of a domain, by lot; fewer where the same come twice."""
         most = domain.preferred if preferred else len(domain)
@@ -744,7 +776,7 @@
             seen[domain.at(self._next_random() % most)] = None
 
     def _best_of(
-        self, request: Request, affinity_set: dict[api.EngineId, None], looked_at: list[Endpoint]
+        self, request: Request, affinity_set: dict[api.EndpointId, None], looked_at: list[Endpoint]
     ) -> tuple[float, float, float, Endpoint] | None:
         options: list[tuple[float, float, Endpoint]] = []
         own = request.profile.threads if self.share >= 0.5 else 0  # guards wide engines against all gateways
@@ -758,7 +790,7 @@
         failed_at = request.failed_at
         for endpoint in [endpoint for endpoint in fit if endpoint not in failed_at] or fit:
             part = (
-                self.duties.cold_from if self._in_slow_start(endpoint) else 1.0
+                self.duties.slow_start_initial_ratio if self._in_slow_start(endpoint) else 1.0
             )  # of the commands, or of its room alone
             crowd = (endpoint.pool.others + (endpoint.threads + own) / endpoint.cores) / (
                 part if own else 1.0
@@ -786,15 +818,15 @@
         return stall, cost, home, equals[place]
 
     def _tie_break(
-        self, request: Request, endpoint: Endpoint, affinity_set: dict[api.EngineId, None], own: int
+        self, request: Request, endpoint: Endpoint, affinity_set: dict[api.EndpointId, None], own: int
     ) -> float:
         """Least for the engine among equals that ran the group last or, where homes are agreed, by lot."""
         if not affinity_set and request.group in endpoint.warm:
             return -float(endpoint.warm[request.group])
-        part = self.duties.cold_from if not own and self._in_slow_start(endpoint) else 1.0
+        part = self.duties.slow_start_initial_ratio if not own and self._in_slow_start(endpoint) else 1.0
         return self._draw(request.tie_break_seed, request.profile, endpoint.entry) / part
 
-    def _settle(self, _event: api.Settled) -> None:
+    def _settle(self, _event: api.BatchEnded) -> None:
         if self.waiting:
             self._follow_groups()
             self._release()
@@ -803,7 +835,7 @@
             self._evaluate()
         if (at := self.evaluate_at) is not None and (self.woken_for is None or at < self.woken_for):
             self.woken_for = at
-            self.actions.append(api.Wake(at, at))
+            self.actions.append(api.SetTimer(at, at))
 
     def _follow_groups(self) -> None:
         if self.share >= 0.5:
@@ -864,7 +896,7 @@
     def _send(self, request: Request, endpoint: Endpoint) -> None:
         if request.attempts:
             taken, made = self.taken.total(self.now, covering=False)[1], self.retries_made.total(self.now)[1]
-            if made + 1 > self.duties.extra_min + self.duties.extra_ratio * taken:
+            if made + 1 > self.duties.retry_budget_min + self.duties.retry_budget_ratio * taken:
                 return
             self.retries_made.add(self.now, 0.0)
             endpoint.retry_credit -= 1
@@ -879,13 +911,13 @@
         if cooled is not None:
             self._cooled(cooled, endpoint)
         self.ran_at.setdefault(request.group, {})[endpoint.entry.id] = None
-        if request.profile.loads:  # scarce cores go first to what others stand behind
+        if request.profile.is_load:  # scarce cores go first to what others stand behind
             endpoint.loads[request.group] = (request, attempt.finish)
         named = self.reduced.priorities[request.kind] if self.reduced else None
-        rank = HIGHEST_PRIORITY if request.profile.loads else named
+        rank = HIGHEST_PRIORITY if request.profile.is_load else named
         if rank is not None and self.allowed.priorities and not attempt.number:
-            self.actions.append(api.Resources(request.id, 0.0, rank))
-        self.actions.append(api.Send(request.id, endpoint.entry.id, request.deadline - self.now))
+            self.actions.append(api.SetResources(request.id, 0.0, rank))
+        self.actions.append(api.StartAttempt(request.id, endpoint.entry.id, request.deadline - self.now))
         self._plan_evaluation(
             min(
                 self.now + max(self.evaluation_interval, int(expected / 4)),
@@ -900,7 +932,7 @@
                 pool.best = min(pool.baseline_ratio, pool.best * 1.001)
             self.limits.adapt(pool, pool.baseline_ratio, pool, self.now)
             for endpoint in {**pool.active, **pool.changed}:  # also what was sent to since
-                if endpoint.entry.state is State.READY:
+                if endpoint.entry.status is EndpointStatus.READY:
                     self._adjust(endpoint)
                     pool.changed[endpoint] = None
         for request in list(self.open.values()):
@@ -914,7 +946,7 @@
             )  # late answers pay where there is room
             hopeless = request.id in self.waiting and self.now + fresh > useful
             if hopeless or self.now + 2 * self.evaluation_interval >= request.deadline:
-                self._reject(request, Reason.HOPELESS)
+                self._reject(request, RejectionReason.HOPELESS)
                 continue
             wait = self.evaluation_interval
             if request.out and request.id not in self.waiting:
@@ -943,13 +975,15 @@
         late = sum(
             self.now - t.at > OVERDUE_RATIO * t.expected and not t.stalled for _, t in endpoint.out.values()
         )
-        needed = 1 if self.given.note_every else EJECTING_FAILURES
-        return late >= needed and self.now - endpoint.heard > max(self.shortest, 2 * self.given.note_every)
+        needed = 1 if self.given.progress_interval else EJECTING_FAILURES
+        return late >= needed and self.now - endpoint.heard > max(
+            self.shortest, 2 * self.given.progress_interval
+        )
 
     def _reconsider(self, request: Request) -> None:
         """Guards against silent engines, bad plans and engines far slower than the rest."""
         attempt, endpoint, profile = request.out[-1], request.out[-1].endpoint, request.profile
-        if attempt.cancelled or not (self.allowed.cancelling and self._may_send_again(request)):
+        if attempt.cancelled or not (self.allowed.cancellation and self._may_send_again(request)):
             return
         age, alone = self.now - attempt.at, request.work / profile.threads
         fresh = alone * max(
@@ -957,7 +991,7 @@
             math.exp(endpoint.pool.estimates[request.kind].latency_ratios.mean(self.now, 0.0, 1.0)),
         )
         left = max(attempt.finish - self.now, age / 4) if attempt.told else float(age)
-        total = age + left if attempt.told else 0 if self.given.note_every else age
+        total = age + left if attempt.told else 0 if self.given.progress_interval else age
         late = self.now + left > max(request.soft_deadline, self.now + 2 * fresh)
         if (
             endpoint.ejected_until
@@ -969,7 +1003,7 @@
         elif (
             total > RUNAWAY_RATIO * fresh * 2**request.overlong
             and late
-            and not profile.loads
+            and not profile.is_load
             and not attempt.stalled
         ):
             request.overlong += 1
@@ -979,7 +1013,7 @@
             self._cancel(request, attempt)
 
 
-def _any(_entry: api.Engine) -> bool:
+def _any(_entry: api.EndpointEntry) -> bool:
     return True
 
 
--- a/lotusstream/policy/limits.py
+++ b/lotusstream/policy/limits.py
@@ -61,7 +61,11 @@
         )
         factor = endpoint.limit_factor if endpoint.overloaded else OPEN_FACTOR
         endpoint.concurrency_limit = endpoint.cores * share * factor
-        if known and endpoint.entry.state is api.State.READY and (endpoint.out or endpoint.overloaded):
+        if (
+            known
+            and endpoint.entry.status is api.EndpointStatus.READY
+            and (endpoint.out or endpoint.overloaded)
+        ):
             pool.count(endpoint)
         else:
             pool.discount(endpoint)
--- a/lotusstream/policy/state.py
+++ b/lotusstream/policy/state.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lotusstream import interface as api
-from lotusstream.ring import Ring
+from lotusstream.sliding_window import SlidingWindow
 
 BUCKETS = 16  # whole buckets of a sliding window
 
@@ -53,7 +53,7 @@
     cell: int | None = None
     attempts: list[Attempt] = field(default_factory=list)
     overlong: int = 0  # sends given up as bad plans
-    earlier: list[api.RanElsewhere] = field(default_factory=list)  # by other gateways
+    earlier: list[api.ExecutedElsewhere] = field(default_factory=list)  # by other gateways
 
     @property
     def out(self) -> list[Attempt]:
@@ -70,9 +70,12 @@
         return {attempt.endpoint for attempt in self.attempts if attempt.cancelled} | self.erred
 
     @property
-    def ran(self) -> list[Attempt | api.RanElsewhere]:
+    def ran(self) -> list[Attempt | api.ExecutedElsewhere]:
         """The sends that may have run."""
-        return [*self.earlier, *[each for each in self.attempts if each.outcome not in api.PROVES_NOT_RUN]]
+        return [
+            *self.earlier,
+            *[each for each in self.attempts if each.outcome not in api.PROVES_NOT_EXECUTED],
+        ]
 
 
 class Pool:
@@ -81,7 +84,7 @@
     `active`: ready ones with sends out or under pressure. Only these are looked at now and then; of all
     others nothing is known that is not known of the pool, so they count by their cores."""
 
-    def __init__(self, latency_ratios: Ring, estimates: list[Any], limit_factor: float) -> None:
+    def __init__(self, latency_ratios: SlidingWindow, estimates: list[Any], limit_factor: float) -> None:
         self.estimates = estimates  # what each profile's commands take there
         self.latency_ratios, self.out = latency_ratios, 0  # threads of this gateway there
         self.cores = 0.0  # of those that are ready
@@ -177,14 +180,14 @@
     )
 
     def __init__(
-        self, entry: api.Engine, pool: Pool, cores: float, pace_span: int, retry_credit: float
+        self, entry: api.EndpointEntry, pool: Pool, cores: float, pace_span: int, retry_credit: float
     ) -> None:
         self.pool, self._span = pool, pace_span
         self.entry, self.cores = entry, cores
         self.threads, self.out = 0, dict[int, tuple[Request, Attempt]]()  # by command and send
         self.loads: dict[int, tuple[Request | None, float]] = {}  # latest load of a group; when it ends
         self.warm: dict[int, int] = {}  # groups last run here, oldest first
-        self.latency_ratios: Ring | None = None  # recent latency over what the work would take alone
+        self.latency_ratios: SlidingWindow | None = None  # recent latency over what the work would take alone
         self.latency_ratio, self.overloaded = pool.baseline_ratio, pool.all_overloaded
         self.overdue_ratio = self.stalled_ratio = (
             pool.baseline_ratio
@@ -201,10 +204,10 @@
 
     def begin_slow_start(self, since: int | None, phase: float) -> None:
         self.slow_start_at, self.phase = since, phase
-        self.slow_start_work: Ring | None = None  # work sent while cold
+        self.slow_start_work: SlidingWindow | None = None  # work sent while cold
 
     def learn_latency_ratio(self, now: int, latency_ratio: float, buckets: int) -> None:
-        self.latency_ratios = self.latency_ratios or Ring(self._span, buckets)
+        self.latency_ratios = self.latency_ratios or SlidingWindow(self._span, buckets)
         self.latency_ratios.add(now, latency_ratio)
         self.pool.changed[self] = None
 
--- a/lotusstream/protocol/control.py
+++ b/lotusstream/protocol/control.py
@@ -11,7 +11,7 @@
 LONGEST_REPLY = 16 << 20
 
 
-class BrokenRequest(Exception):
+class ControlRequestError(Exception):
     """What came is no request; the connection can't be read on where `fatal`."""
 
     def __init__(self, why: str, *, fatal: bool) -> None:
@@ -160,7 +160,7 @@
 def frame_length(head: bytes, longest: int) -> int:
     (length,) = LENGTH.unpack(head)
     if not 0 < length <= longest:
-        raise BrokenRequest(f"a request of {length} bytes; {longest} at most", fatal=True)
+        raise ControlRequestError(f"a request of {length} bytes; {longest} at most", fatal=True)
     return int(length)
 
 
@@ -168,11 +168,11 @@
     try:
         return _REQUESTS.decode(payload)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise BrokenRequest(f"no request: {error}", fatal=False) from error
+        raise ControlRequestError(f"no request: {error}", fatal=False) from error
 
 
 def decode_reply(payload: bytes) -> Reply:
     try:
         return _REPLIES.decode(payload)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise BrokenRequest(f"no reply: {error}", fatal=True) from error
+        raise ControlRequestError(f"no reply: {error}", fatal=True) from error
--- a/lotusstream/protocol/front.py
+++ b/lotusstream/protocol/front.py
@@ -13,7 +13,7 @@
 from thrift.transport.TTransport import TMemoryBuffer
 
 from lotusstream.deployment import Deployment
-from lotusstream.interface import Effect
+from lotusstream.interface import Idempotency
 
 FRAME = struct.Struct("!i")
 LONGEST_FRAME = 256 << 10
@@ -29,11 +29,11 @@
 _NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?\Z")
 
 
-class BrokenFrame(Exception):
+class FrameError(Exception):
     """The stream of frames can't be read on."""
 
 
-class UnusableMessage(Exception):
+class MessageFormatError(Exception):
     """One message that can't be used. `fault` is the answer to it, if one is owed."""
 
     def __init__(self, method: str, seqid: int, kind: int, why: str, *, answered: bool) -> None:
@@ -41,7 +41,7 @@
         self.fault = encode_fault(method, seqid, kind, why) if answered else None
 
 
-class UnusableCommand(Exception):
+class RequestFormatError(Exception):
     """A message whose fields can't be used."""
 
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CommandFields:
+class RequestFields:
     """What a client says of its command, in this project's units."""
 
     profile: int
@@ -80,7 +80,7 @@
         return None
     (length,) = FRAME.unpack_from(data)
     if not 0 < length <= LONGEST_FRAME:
-        raise BrokenFrame(f"a frame of {length} bytes")
+        raise FrameError(f"a frame of {length} bytes")
     return int(length)
 
 
@@ -136,12 +136,12 @@
     try:
         method, kind, seqid = protocol.readMessageBegin()
     except Exception as error:  # the codec lets errors of many kinds through
-        raise BrokenFrame(f"no message: {error!r}") from error
+        raise FrameError(f"no message: {error!r}") from error
     if kind not in (TMessageType.CALL, TMessageType.ONEWAY):
-        raise BrokenFrame(f"a message of type {kind}")
+        raise FrameError(f"a message of type {kind}")
     if method not in _ARGUMENTS:
         why, fault = "unknown method", TApplicationException.UNKNOWN_METHOD
-        raise UnusableMessage(method, seqid, fault, why, answered=kind == TMessageType.CALL)
+        raise MessageFormatError(method, seqid, fault, why, answered=kind == TMessageType.CALL)
     try:
         values = _arguments(protocol, _ARGUMENTS[method])
         if method == "probe":
@@ -151,32 +151,32 @@
         return Process(seqid, values[1], values[2])
     except Exception as error:  # as above
         why, fault = f"unusable: {error!r}", TApplicationException.PROTOCOL_ERROR
-        raise UnusableMessage(method, seqid, fault, why, answered=kind == TMessageType.CALL) from error
+        raise MessageFormatError(method, seqid, fault, why, answered=kind == TMessageType.CALL) from error
 
 
 def _number(fields: dict[str, str], name: str) -> float | None:
     if name not in fields:
         return None
     if not _NUMBER.match(fields[name]):
-        raise UnusableCommand(f"{name} is no number")
+        raise RequestFormatError(f"{name} is no number")
     return float(fields[name])
 
 
-def command_fields(fields: dict[str, str], deployment: Deployment) -> CommandFields:
+def command_fields(fields: dict[str, str], deployment: Deployment) -> RequestFields:
     profile, call, mark = fields.get("op"), fields.get("call", ""), fields.get("dedupe")
     if profile not in deployment.profiles:
-        raise UnusableCommand("op names no profile")
+        raise RequestFormatError("op names no profile")
     if not _CALL.match(call):
-        raise UnusableCommand("call is no id")
+        raise RequestFormatError("call is no id")
     if mark is not None and not _HEADER_VALUE.match(mark):
-        raise UnusableCommand("dedupe is no mark")
+        raise RequestFormatError("dedupe is no mark")
     index = deployment.profiles.index(profile)
-    if deployment.started.profiles[index].effect is Effect.UNIQUED and mark is None:
-        raise UnusableCommand("dedupe is missing")
+    if deployment.started.profiles[index].idempotency is Idempotency.IDEMPOTENT_WITH_KEY and mark is None:
+        raise RequestFormatError("dedupe is missing")
     ttl, work = _number(fields, "ttl"), _number(fields, "work")
     if ttl is None:
-        raise UnusableCommand("ttl is missing")
-    return CommandFields(
+        raise RequestFormatError("ttl is missing")
+    return RequestFields(
         profile=index,
         call=call,
         time_left=int(ttl * MS),
@@ -254,4 +254,4 @@
         outer = _arguments(protocol, {}, inside={0: {3: TType.BOOL}})
         return kind == TMessageType.REPLY and bool(outer.get(0, {}).get(3))
     except Exception as error:  # the codec lets errors of many kinds through
-        raise BrokenFrame(f"no answer to a probe: {error!r}") from error
+        raise FrameError(f"no answer to a probe: {error!r}") from error
--- a/lotusstream/protocol/http.py
+++ b/lotusstream/protocol/http.py
@@ -25,7 +25,7 @@
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,15})?\Z")
 
 
-class BrokenAnswer(Exception):
+class AnswerFormatError(Exception):
     """What came is no whole HTTP answer."""
 
 
@@ -60,14 +60,14 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self.answer is None:
-                raise BrokenAnswer(str(error)) from error
+                raise AnswerFormatError(str(error)) from error
             self.answer = replace(self.answer, reusable=False, overrun=True)
         if self.answer is not None:
             return
         if self._in_head and self._head > LONGEST_HEAD:
-            raise BrokenAnswer("an endless head")
+            raise AnswerFormatError("an endless head")
         if len(self._body) > self._longest:
-            raise BrokenAnswer("a body longer than any may be")
+            raise AnswerFormatError("a body longer than any may be")
 
     def on_message_begin(self) -> None:
         self._headers = {}
@@ -117,7 +117,7 @@
 @dataclass(frozen=True, slots=True)
 class QueryNews:
     outcome: api.Outcome | None  # None: not yet over
-    note: api.Note | None = None
+    note: api.ProgressKind | None = None
     amount: float = 0.0
     pages: int = 0
     rows: bytes = b""  # page 0
@@ -130,19 +130,19 @@
     return float(text) if _DECIMAL.match(text) else None
 
 
-def _note(answer: Answer) -> tuple[api.Note | None, float]:
+def _note(answer: Answer) -> tuple[api.ProgressKind | None, float]:
     amount = _decimal(answer, "note-value")
     if amount is None:
         return None, 0.0
     match answer.headers.get("x-how"):
         case "progress":
-            return api.Note.PROGRESS, amount
+            return api.ProgressKind.PROGRESS, amount
         case "spill_mb":
-            return api.Note.SPILLS, amount
+            return api.ProgressKind.SPILLS, amount
         case "blocked" if amount == 1:
-            return api.Note.WAITS_FOR_MEMORY, amount
+            return api.ProgressKind.WAITS_FOR_MEMORY, amount
         case "blocked" if amount == 2:
-            return api.Note.WAITS_FOR_LOAD, amount
+            return api.ProgressKind.WAITS_FOR_LOAD, amount
     return None, 0.0
 
 
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -12,7 +12,7 @@
 
 from lotusstream.copies.messages import AnyWord, Assigned, Compare, Compared, Holding
 from lotusstream.copies.shards import Holder, Place
-from lotusstream.examine.news import News
+from lotusstream.healthcheck.reports import HealthReports
 from lotusstream.leases.table import AnyWish, Granted
 from lotusstream.quorum.messages import Envelope
 
@@ -22,7 +22,7 @@
 LONGEST = 2 << 20  # a record of the log is at most 1 MB
 
 
-class BrokenPeer(Exception):
+class PeerProtocolError(Exception):
     """What came is no frame of ours; the connection can't be read on."""
 
 
@@ -138,7 +138,7 @@
 class Tidings(Frame, frozen=True, tag="tidings"):
     """From who examines engines to the keepers, and on to all. `late`: microseconds since it was told."""
 
-    news: News
+    news: HealthReports
     late: int = 0
 
 
@@ -172,11 +172,11 @@
         return None
     (length,) = LENGTH.unpack_from(data)
     if not 0 < length <= LONGEST:
-        raise BrokenPeer(f"a frame of {length} bytes; {LONGEST} at most")
+        raise PeerProtocolError(f"a frame of {length} bytes; {LONGEST} at most")
     end = LENGTH.size + length
     if len(data) < end:
         return None
     try:
         return _FRAMES.decode(data[LENGTH.size : end]), end
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise BrokenPeer(f"no frame: {error}") from error
+        raise PeerProtocolError(f"no frame: {error}") from error
--- a/lotusstream/quorum/keeper.py
+++ b/lotusstream/quorum/node.py
@@ -13,14 +13,14 @@
 
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.founding import Founding, known, older_copy
-from lotusstream.quorum.journal import Journal, OnDisk, write_members
+from lotusstream.quorum.bootstrap import Founding, known, older_copy
+from lotusstream.quorum.replicated_log import Journal, OnDisk, write_members
 
 EMPTY, FOLLOWER, ASKING, CANDIDATE, LEADER = "empty", "follower", "asking", "candidate", "leader"
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class RaftTiming:
     """Times in microseconds. An election begins after `election` to twice that without a leader. `batch`:
     most bytes of entries or snapshot in one message; `kept`: entries before the log is compacted."""
 
@@ -47,25 +47,32 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class ReadIndexRequest:
     ticket: int
     round: int
     index: int
 
 
 @dataclass(slots=True)
-class Saving:
+class PendingWrite:
     number: int
     last: int
     rests: list[ms.Envelope] = field(default_factory=list)  # may leave once it is on the disk
 
 
-class Keeper:
+class RaftNode:
     """`on_disk`: what the disk holds; `fresh`: a disk's name that was never used, taken where this disk turns
     out to be an older copy; `named`: the keepers of the operator file, for a founding."""
 
     def __init__(
-        self, name: str, on_disk: OnDisk, fresh: str, named: Sequence[str], pace: Pace, seed: int, now: int
+        self,
+        name: str,
+        on_disk: OnDisk,
+        fresh: str,
+        named: Sequence[str],
+        pace: RaftTiming,
+        seed: int,
+        now: int,
     ) -> None:
         self.name, self.pace, self._fresh, self._named = name, pace, fresh, tuple(named)
         self.disk, self.term, self.vote = on_disk.disk, on_disk.term, on_disk.vote
@@ -87,11 +94,11 @@
         self._followers: dict[str, Follower] = {}
         self._round, self._beat_at = 0, now
         self._tickets: dict[int, int] = {}
-        self._readings: list[Reading] = []
+        self._readings: list[ReadIndexRequest] = []
         self._wish: tuple[int, str, str, bool] | None = None  # ticket, name, disk, add
         self._newcomers: dict[str, tuple[str, int]] = {}  # by name: disk, when it last said hello
         self._handing: tuple[str, int] | None = None  # to whom, until when
-        self._saves: deque[Saving] = deque()
+        self._saves: deque[PendingWrite] = deque()
         self._pending: list[ms.Record] = []
         self._rewrite = False
         self._number = 0
@@ -173,10 +180,10 @@
         else:
             self._out.append(ev.Say(envelope))
 
-    def _open_save(self) -> Saving:
+    def _open_save(self) -> PendingWrite:
         """The save that this turn will ask for."""
         if not self._saves or self._saves[-1].number != self._number + 1:
-            self._saves.append(Saving(self._number + 1, 0))
+            self._saves.append(PendingWrite(self._number + 1, 0))
         return self._saves[-1]
 
     def _flush(self) -> None:
@@ -475,7 +482,7 @@
         if self.role != LEADER:
             self._out.append(ev.Dropped(ticket, "not the leader", self.leader, False))
             return
-        self._readings.append(Reading(ticket, self._round + 1, 0))
+        self._readings.append(ReadIndexRequest(ticket, self._round + 1, 0))
         self._beat_at = self._now
 
     def _beat(self) -> None:
--- a/lotusstream/lots.py
+++ b/lotusstream/rendezvous.py
@@ -7,7 +7,7 @@
 MASK = 0xFFFFFFFF
 
 
-def drawn(name: bytes, seed: int) -> float:
+def unit_hash(name: bytes, seed: int) -> float:
     """A lot in (0, 1]. zlib.crc32 alone won't do: CRC is affine, so another seed only XORs every name's sum
     with the same value. Names that lie close to one another then share their lots at every seed, one that
     lies alone wins all of its neighbourhood, and who draws least is uneven in the same way for everybody.
--- a/lotusstream/rollout/plan.py
+++ b/lotusstream/rollout/plan.py
@@ -39,7 +39,7 @@
     no_way_back: bool = False  # said so by whoever began it
 
 
-class UnusablePlan(Exception):
+class RolloutPlanError(Exception):
     """What is wrong, and what would do."""
 
 
@@ -47,20 +47,20 @@
     """Raises UnusablePlan."""
     stages = plan.stages
     if not stages or stages[-1] != 1 or list(stages) != sorted(set(stages)) or stages[0] < 0:
-        raise UnusablePlan(f"stages {stages}: growing shares from 0 that end in 1 would do")
+        raise RolloutPlanError(f"stages {stages}: growing shares from 0 that end in 1 would do")
     if not 0 <= plan.keep < 1 or plan.keep * gateways > gateways - 1:
-        raise UnusablePlan(
+        raise RolloutPlanError(
             f"keep {plan.keep:g} of {gateways} lets none be changed; {1 - 1 / gateways:.2g} would"
         )
     if not 0 < plan.alarms < 0.5:
-        raise UnusablePlan(f"a rate of false alarms of {plan.alarms:g}; 0.01 would do")
+        raise RolloutPlanError(f"a rate of false alarms of {plan.alarms:g}; 0.01 would do")
     if plan.most_down < 1 or plan.most_back < 1:
-        raise UnusablePlan("none may be down at once; 1 would do")
+        raise RolloutPlanError("none may be down at once; 1 would do")
     if plan.old.hash == plan.new.hash:
-        raise UnusablePlan(f"old and new are the same: {plan.old.hash}")
+        raise RolloutPlanError(f"old and new are the same: {plan.old.hash}")
     if (lost := plan.new.writes - plan.old.reads) and not plan.no_way_back:
         formats = ", ".join(sorted(lost))
-        raise UnusablePlan(f"no way back: the old one can't read {formats}; say so, or leave them off")
+        raise RolloutPlanError(f"no way back: the old one can't read {formats}; say so, or leave them off")
 
 
 def order(plan: Plan, zones: Mapping[str, str]) -> list[str]:
--- a/lotusstream/drill/__main__.py
+++ b/lotusstream/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts many isolated gateways on the bench's wire: `python -m lotusstream.drill`."""
+"""Hosts many isolated gateways on the bench's wire: `python -m lotusstream.simulation`."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from typing import BinaryIO
 
 from lotusstream import interface as api
-from lotusstream.drill import wire
 from lotusstream.policy import Gateway
+from lotusstream.simulation import wire
 
 INVENTORY, VIEW, INIT, EXIT = 6, 9, 10, 11
 EVENT_CODES = range(1, 13)
@@ -39,7 +39,7 @@
 class Host:
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
-        self._lists: dict[int, tuple[api.Engine, ...]] = {}
+        self._lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
     def answer(self, batch: wire.Batch, output: BinaryIO) -> None:
         try:
@@ -56,7 +56,7 @@
         for index in range(batch.count):
             code, body = batch.record(index)
             if code not in EVENT_CODES:
-                raise wire.MalformedInput(f"batch {batch.number}: unknown event code {code}")
+                raise wire.MalformedInputError(f"batch {batch.number}: unknown event code {code}")
             if code == INVENTORY:
                 number, offset, count = wire.INVENTORY.unpack_from(body)
                 self._lists[number] = wire.read_entries(batch, offset, count)
@@ -77,7 +77,9 @@
             event, columns = wire.decode_start(seed, batch.cut(offset, length))
             self._instances[who] = Instance(wire.EventDecoder(columns))
         elif who not in self._instances:
-            raise wire.MalformedInput(f"batch {batch.number}: event for instance {who}, which is not running")
+            raise wire.MalformedInputError(
+                f"batch {batch.number}: event for instance {who}, which is not running"
+            )
         elif code == VIEW:
             event = self._news(batch, body)
         else:
@@ -85,16 +87,16 @@
         if event is not None:
             self._tell(who, batch.clock, event)
 
-    def _news(self, batch: wire.Batch, body: bytes) -> api.EngineNews:
+    def _news(self, batch: wire.Batch, body: bytes) -> api.EndpointListReceived:
         _, _seq, raw_kind, number = wire.VIEW.unpack_from(body)
         kind = wire.LIST_KINDS.get(raw_kind)
         if kind is None:
-            raise wire.MalformedInput(f"batch {batch.number}: unknown kind of view {raw_kind}")
-        if kind is api.ListKind.FAILED:
-            return api.EngineNews(kind, ())
+            raise wire.MalformedInputError(f"batch {batch.number}: unknown kind of view {raw_kind}")
+        if kind is api.EndpointListKind.FAILED:
+            return api.EndpointListReceived(kind, ())
         if number not in self._lists:
-            raise wire.MalformedInput(f"batch {batch.number}: list {number} was never given")
-        return api.EngineNews(kind, self._lists[number])
+            raise wire.MalformedInputError(f"batch {batch.number}: list {number} was never given")
+        return api.EndpointListReceived(kind, self._lists[number])
 
     def _tell(self, who: int, clock: int, event: api.Event) -> None:
         try:
@@ -105,7 +107,7 @@
     def _settle(self, clock: int, touched: dict[int, None]) -> list[bytes]:
         records: list[bytes] = []
         for who in touched:
-            self._tell(who, clock, api.Settled())
+            self._tell(who, clock, api.BatchEnded())
             instance = self._instances[who]
             records += [wire.encode_action(who, action) for action in instance.actions]
             instance.actions = []
@@ -117,8 +119,8 @@
     try:
         while (batch := wire.read_batch(source)) is not None:
             host.answer(batch, output)
-    except (wire.MalformedInput, struct.error, ValueError, KeyError) as error:
-        complain(f"lotusstream.drill: malformed input: {error}\n")
+    except (wire.MalformedInputError, struct.error, ValueError, KeyError) as error:
+        complain(f"lotusstream.simulation: malformed input: {error}\n")
         return 1
     return 0
 
--- a/lotusstream/drill/wire.py
+++ b/lotusstream/simulation/wire.py
@@ -9,7 +9,7 @@
 from typing import BinaryIO
 
 from lotusstream import interface as api
-from lotusstream.deployment import UnusableSettings, read_settings
+from lotusstream.deployment import SettingsError, read_settings
 
 EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 56, 24, 25
 LIST_COUNT = 16
@@ -42,16 +42,16 @@
 HINT_VALID = 1
 LONGEST_TIME_OUT = 2**32 - 1
 
-STATES = {0: api.State.DRAINING, 1: api.State.GONE, 2: api.State.READY}
+STATES = {0: api.EndpointStatus.DRAINING, 1: api.EndpointStatus.REMOVED, 2: api.EndpointStatus.READY}
 LIST_KINDS = {
-    0: api.ListKind.CHANGES,
-    1: api.ListKind.FULL,
-    2: api.ListKind.CACHED,
-    3: api.ListKind.FAILED,
+    0: api.EndpointListKind.DELTA,
+    1: api.EndpointListKind.SNAPSHOT,
+    2: api.EndpointListKind.CACHED_SNAPSHOT,
+    3: api.EndpointListKind.FAILED,
 }
 
 
-class MalformedInput(Exception):
+class MalformedInputError(Exception):
     """The input is not a batch of this wire."""
 
 
@@ -69,14 +69,14 @@
 
     def cut(self, offset: int, length: int) -> bytes:
         if offset + length > len(self.tail):
-            raise MalformedInput(f"batch {self.number}: a tail field ends past the tail")
+            raise MalformedInputError(f"batch {self.number}: a tail field ends past the tail")
         return self.tail[offset : offset + length]
 
 
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if len(data) != size:
-        raise MalformedInput(f"input ends {size - len(data)} bytes short of a whole frame")
+        raise MalformedInputError(f"input ends {size - len(data)} bytes short of a whole frame")
     return data
 
 
@@ -89,7 +89,7 @@
     number, clock, length, count = BATCH_HEADER.unpack(header)
     body_size = length - WHO.size
     if body_size < count * EVENT_SIZE:
-        raise MalformedInput(f"batch {number}: {count} records do not fit in {length} bytes")
+        raise MalformedInputError(f"batch {number}: {count} records do not fit in {length} bytes")
     body = _read_exactly(stream, body_size)
     split = count * EVENT_SIZE
     return Batch(number, clock, body[:split], count, body[split:])
@@ -105,22 +105,22 @@
     return DIE.pack(76, who, offset, length)
 
 
-def read_entries(batch: Batch, offset: int, count: int) -> tuple[api.Engine, ...]:
+def read_entries(batch: Batch, offset: int, count: int) -> tuple[api.EndpointEntry, ...]:
     data = batch.cut(offset, count * ENTRY_SIZE)
     entries = []
     for zone, health, started, engine, _weight, cell, kind in ENTRY.iter_unpack(data):
         if health not in STATES:
-            raise MalformedInput(f"batch {batch.number}: unknown health {health}")
-        entries.append(api.Engine(engine, STATES[health], zone, cell, kind, started))
+            raise MalformedInputError(f"batch {batch.number}: unknown health {health}")
+        entries.append(api.EndpointEntry(engine, STATES[health], zone, cell, kind, started))
     return tuple(entries)
 
 
-def decode_start(seed: int, text: bytes) -> tuple[api.Started, tuple[str, ...]]:
+def decode_start(seed: int, text: bytes) -> tuple[api.GatewayStarted, tuple[str, ...]]:
     """The first event of an instance, and the names of its load report's columns."""
     try:
         deployment = read_settings(seed, json.loads(text))
-    except (ValueError, UnusableSettings) as error:
-        raise MalformedInput(str(error)) from error
+    except (ValueError, SettingsError) as error:
+        raise MalformedInputError(str(error)) from error
     return deployment.started, deployment.report_columns
 
 
@@ -142,16 +142,16 @@
         """The event, or None for begun streams and mail between gateways, which nothing here uses."""
         return self._decoders[code](body) if code in self._decoders else None
 
-    def _report(self, count: int, values: tuple[float, ...]) -> api.Report | None:
+    def _report(self, count: int, values: tuple[float, ...]) -> api.LoadReport | None:
         if not count:
             return None
         told = dict(zip(self._columns, values[:count], strict=False))
-        return api.Report(told.get("active"), told.get("waiting"), told.get("cpu"))
+        return api.LoadReport(told.get("active"), told.get("waiting"), told.get("cpu"))
 
     def _order(self, body: bytes) -> api.Event:
         _, call, profile, hint, attrs, memory, grace, group, key = ORDER.unpack_from(body)
         known = hint if attrs & HINT_VALID else None
-        return api.Arrived(call, profile, known, memory or None, grace, int(group), key or None)
+        return api.RequestReceived(call, profile, known, memory or None, grace, int(group), key or None)
 
     def _response(self, body: bytes) -> api.Event:
         fields = RESPONSE.unpack_from(body)
@@ -160,43 +160,43 @@
         memory = float((cost & 0xFFF) * 4) if cost else None
         report = self._report(count, tuple(values))
         how = api.Outcome(outcome)
-        heard = how in api.ITS_OWN_WORD
-        return api.Ended(call, trial, engine, how, latency, bool(over), work, memory, report, heard)
+        heard = how in api.REPORTED_BY_ENDPOINT
+        return api.AttemptEnded(call, trial, engine, how, latency, bool(over), work, memory, report, heard)
 
     def _update_of(self, body: bytes) -> api.Event:
         _, call, amount, kind, trial, engine = UPDATE_OF.unpack_from(body)
-        waits = api.Note.WAITS_FOR_LOAD if amount == 2 else api.Note.WAITS_FOR_MEMORY
-        note = {1: api.Note.PROGRESS, 2: api.Note.SPILLS, 3: waits}[kind]
-        return api.Noted(call, trial, engine, note, amount)
+        waits = api.ProgressKind.WAITS_FOR_LOAD if amount == 2 else api.ProgressKind.WAITS_FOR_MEMORY
+        note = {1: api.ProgressKind.PROGRESS, 2: api.ProgressKind.SPILLS, 3: waits}[kind]
+        return api.AttemptProgressed(call, trial, engine, note, amount)
 
     def _client_gone(self, body: bytes) -> api.Event:
-        return api.ClientGone(CLIENT_GONE.unpack_from(body)[1])
+        return api.ClientDisconnected(CLIENT_GONE.unpack_from(body)[1])
 
     def _ring(self, body: bytes) -> api.Event:
-        return api.Woken(RING.unpack_from(body)[1])
+        return api.TimerFired(RING.unpack_from(body)[1])
 
     def _probe_result(self, body: bytes) -> api.Event:
         _, outcome, latency, engine, count, *values = PROBE_RESULT.unpack_from(body)
-        return api.Probed(engine, api.Outcome(outcome), latency, self._report(count, tuple(values)))
+        return api.HealthCheckEnded(engine, api.Outcome(outcome), latency, self._report(count, tuple(values)))
 
 
 def encode_action(who: int, action: api.Action) -> bytes:
     match action:
-        case api.Send(command, engine, time_out):
+        case api.StartAttempt(command, engine, time_out):
             return ASSIGN.pack(70, who, command, engine, min(time_out, LONGEST_TIME_OUT))
-        case api.Resources(command, grant, priority):
+        case api.SetResources(command, grant, priority):
             return RESOURCES.pack(66, who, command, grant, priority)
-        case api.Shed(command, come_back_after):
+        case api.RejectRequest(command, come_back_after):
             return OVERLOAD_REPLY.pack(72, who, command, come_back_after)
-        case api.Fail(command):
+        case api.FailRequest(command):
             return FAIL.pack(71, who, command)
-        case api.Cancel(command, send):
+        case api.CancelAttempt(command, send):
             return WITHDRAW.pack(77, who, command, send)
-        case api.Probe(engine):
+        case api.StartHealthCheck(engine):
             return SAMPLE.pack(75, who, engine)
-        case api.Wake(at, token):
+        case api.SetTimer(at, token):
             return SET_TIMER.pack(74, who, at, token)
-        case api.Subscribe(on):
+        case api.SetListSubscription(on):
             return KEEP_INFORMED.pack(73, who, on)
-        case api.Believed():
+        case api.GatewaySnapshot():
             return b""  # nobody asks here
--- a/lotusstream/ring.py
+++ b/lotusstream/sliding_window.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Ring:
+class SlidingWindow:
     """Sums over the last `span` microseconds, in fixed buckets of time that are used again in a ring."""
 
     def __init__(self, span: int, buckets: int) -> None:
--- a/lotusstream/record/log.py
+++ b/lotusstream/wal/log.py
@@ -22,7 +22,7 @@
 LONGEST = 1 << 20
 
 
-class LogTrouble(Exception):
+class LogError(Exception):
     """The log can't be used. `hint`: what would do."""
 
     def __init__(self, path: str, what: str, hint: str) -> None:
@@ -30,11 +30,11 @@
         self.path, self.what, self.hint = path, what, hint
 
 
-class NewerLog(LogTrouble):
+class NewerLogError(LogError):
     """Written by a later version of this program."""
 
 
-class CorruptLog(LogTrouble):
+class CorruptLogError(LogError):
     """Changed in its middle, or no log at all. `at`: the first byte that can't be read on from."""
 
     def __init__(self, path: str, what: str, hint: str, at: int) -> None:
@@ -42,11 +42,11 @@
         self.at = at
 
 
-class LogInUse(LogTrouble):
+class LogInUseError(LogError):
     """Another process holds it."""
 
 
-class DiskTrouble(LogTrouble):
+class DiskError(LogError):
     """The disk is full, read-only, or failed. What was appended before stands."""
 
 
@@ -106,11 +106,11 @@
     for later in range(at + 1, len(data) - FRAME.size):
         if _frame_at(data, later) is not None:
             hint = "restore it from a copy, or move it away to begin anew without what it held"
-            raise CorruptLog(path, f"damaged at byte {at}, with whole frames after it", hint, at)
+            raise CorruptLogError(path, f"damaged at byte {at}, with whole frames after it", hint, at)
     return payloads, at
 
 
-class LogLook:
+class LogInspection:
     """The file as it is now, to be read beside further writes: they only follow it, or make another file."""
 
     def __init__(self, descriptor: int, size: int) -> None:
@@ -154,7 +154,7 @@
         except OSError as error:
             self.close()
             raise self._trouble(error) from error
-        except LogTrouble:
+        except LogError:
             self.close()
             raise
         return self
@@ -168,7 +168,7 @@
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
-            raise LogInUse(self._path, "another process holds it", "end that one first") from error
+            raise LogInUseError(self._path, "another process holds it", "end that one first") from error
 
     def _read(self) -> None:
         self._descriptor = os.open(self._path, os.O_RDWR | os.O_CLOEXEC)
@@ -184,20 +184,20 @@
 
     def _check_header(self, data: bytes) -> None:
         if len(data) < HEADER.size or data[: len(MAGIC)] != MAGIC:
-            raise CorruptLog(self._path, "no log of this program", "name another file", 0)
+            raise CorruptLogError(self._path, "no log of this program", "name another file", 0)
         _, version, checksum = HEADER.unpack_from(data)
         if checksum != zlib.crc32(data[: len(MAGIC) + 2]):
             hint = "restore it from a copy, or move it away to begin anew without what it held"
-            raise CorruptLog(self._path, "its header is damaged", hint, len(MAGIC))
+            raise CorruptLogError(self._path, "its header is damaged", hint, len(MAGIC))
         if version > VERSION:
             hint = "start the version that wrote it, or a later one"
-            raise NewerLog(self._path, f"format {version}, and {VERSION} is the newest known here", hint)
+            raise NewerLogError(self._path, f"format {version}, and {VERSION} is the newest known here", hint)
 
-    def look(self) -> LogLook:
+    def look(self) -> LogInspection:
         """For reading again what is on the disk so far. Not beside a write of this process. Raises
         DiskTrouble."""
         try:
-            return LogLook(os.open(self._path, os.O_RDONLY | os.O_CLOEXEC), self.size)
+            return LogInspection(os.open(self._path, os.O_RDONLY | os.O_CLOEXEC), self.size)
         except OSError as error:
             raise self._trouble(error) from error
 
@@ -205,7 +205,7 @@
         """Returns once they are on the disk, by one sync for all. Raises DiskTrouble: then none is in the
         log, now or later; after a crash in it a beginning of them may be."""
         if self._failed or self._descriptor < 0:
-            raise DiskTrouble(self._path, "not open for writing", "open it again")
+            raise DiskError(self._path, "not open for writing", "open it again")
         before = self.size
         try:
             data = b"".join(map(framed, payloads))
@@ -252,7 +252,7 @@
         self._disk.replace(made, self._path)
         self._disk.sync_folder(os.path.dirname(os.path.abspath(self._path)))
 
-    def _trouble(self, error: OSError) -> DiskTrouble:
+    def _trouble(self, error: OSError) -> DiskError:
         hints = {
             errno.ENOSPC: "make room on the disk",
             errno.EDQUOT: "make room on the disk",
@@ -261,7 +261,7 @@
             errno.ENOENT: "make the folder first",
         }
         hint = hints.get(error.errno or 0, "look at the disk")
-        return DiskTrouble(self._path, error.strerror or str(error), hint)
+        return DiskError(self._path, error.strerror or str(error), hint)
 
     def close(self) -> None:
         for descriptor in (self._descriptor, self._lock):
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -12,10 +12,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lotusstream import interface as api
-from lotusstream.cells.keeper import (
+from lotusstream.cells.controller import (
     AbortMove,
-    CellKeeper,
-    InCells,
+    CellAdmission,
+    CellController,
     MoveTenant,
     NewPlan,
     NotWritten,
@@ -24,14 +24,18 @@
 )
 from lotusstream.cells.move import Move, Step, terms
 from lotusstream.cells.plan import Cell, Empty, Engines, Plan, Source, TenantSource
-from lotusstream.cells.poison import PoisonTerms
+from lotusstream.cells.poison_requests import PoisonTerms
 from lotusstream.cells.trie import NameTrie
 from lotusstream.policy import Gateway
 
 UNIQUED = replace(
-    LOOKUP, effect=api.Effect.UNIQUED, scope=api.Scope.ZONE, remembered_for=5 * S, client_timeout=25 * S
+    LOOKUP,
+    idempotency=api.Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=api.DeduplicationScope.ZONE,
+    deduplication_window=5 * S,
+    client_timeout=25 * S,
 )
-ONCE = replace(LOOKUP, effect=api.Effect.NON_REPLAYABLE, client_timeout=25 * S)
+ONCE = replace(LOOKUP, idempotency=api.Idempotency.NOT_IDEMPOTENT, client_timeout=25 * S)
 BOUND = replace(LOOKUP, kinds=frozenset({1}))
 PROFILES = (LOOKUP, UNIQUED, ONCE, BOUND)
 EAST, WEST = Engines(zones=frozenset({0})), Engines(zones=frozenset({1}))
@@ -63,19 +67,19 @@
     ) -> None:  # fmt: skip
         self.now, self.disk, self.full = now, disk if disk is not None else [], False
         moves = moves_in(self.disk, now).values()
-        self.keeper = CellKeeper(of or plan(), TERMS, PROFILES, moves, poison)
+        self.keeper = CellController(of or plan(), TERMS, PROFILES, moves, poison)
         self.refused: list[str] = []
-        self.host = InCells(Gateway().handle, self.keeper, self._write, self.refused.append)
+        self.host = CellAdmission(Gateway().handle, self.keeper, self._write, self.refused.append)
         self.log: list[api.Action] = []
         self.sent: dict[int, list[bytes]] = {}
         self.out: set[tuple[int, int]] = set()
         self.tenants: dict[int, str | None] = {}
         self.ids = 0
-        self.tell(api.Started(7, 1, 5 * MS, PROFILES, (api.Kind(8.0, 0.0),) * 2, 1.0, 0, False,
-                              api.Allowed(4, True, True, False, False, True, 500 * MS, False),
-                              api.Duties(20 * MS, 0.3, 0, 3.0, S, 300 * MS, 1e9, 0.0, 0,
+        self.tell(api.GatewayStarted(7, 1, 5 * MS, PROFILES, (api.EndpointKind(8.0, 0.0),) * 2, 1.0, 0, False,
+                              api.Capabilities(4, True, True, False, False, True, 500 * MS, False),
+                              api.RuleLimits(20 * MS, 0.3, 0, 3.0, S, 300 * MS, 1e9, 0.0, 0,
                                          10 * S)))  # fmt: skip
-        self.tell(api.EngineNews(api.ListKind.FULL, FLEET))
+        self.tell(api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, FLEET))
 
     def _write(self, move: Move) -> None:
         if self.full:
@@ -86,7 +90,7 @@
 
     def tell(self, *events: object) -> list[api.Action]:
         seen, self.later = len(self.log), list[object]()
-        for event in (*events, api.Settled()):
+        for event in (*events, api.BatchEnded()):
             self._handle(event)
         while self.later:
             self._handle(self.later.pop(0))
@@ -95,25 +99,25 @@
     def _handle(self, event: object) -> None:
         for action in self.host.handle(self.now, event):  # type: ignore[arg-type]
             self.log.append(action)
-            if isinstance(action, api.Send):
-                where = self.sent.setdefault(action.command, [])
-                self.out.add((action.command, len(where)))
-                where.append(action.engine)
+            if isinstance(action, api.StartAttempt):
+                where = self.sent.setdefault(action.request_id, [])
+                self.out.add((action.request_id, len(where)))
+                where.append(action.endpoint_id)
 
     def take(self, tenant: str | None = "uni-a", profile: int = 0) -> int:
         self.ids += 1
         self.tenants[self.ids] = tenant
         limit = PROFILES[profile].client_timeout
-        self.tell(api.Arrived(self.ids, profile, 200 * MS, None, limit, 1, None, tenant=tenant))
+        self.tell(api.RequestReceived(self.ids, profile, 200 * MS, None, limit, 1, None, tenant=tenant))
         return self.ids
 
     def end(self, command: int, outcome: api.Outcome = api.Outcome.ANSWERED, latency: int = 200 * MS) -> None:
         number = max(n for c, n in self.out if c == command)
         self.out.discard((command, number))
         over = outcome is api.Outcome.ANSWERED
-        heard = outcome in api.ITS_OWN_WORD
+        heard = outcome in api.REPORTED_BY_ENDPOINT
         self.tell(
-            api.Ended(
+            api.AttemptEnded(
                 command, number, self.sent[command][number], outcome, 200 * MS, over, None, None, None, heard
             )
         )
@@ -122,10 +126,14 @@
         end = self.now + span
         while self.now < end:
             self.now = min(end, self.now + step)
-            self.tell(api.Woken(0))
+            self.tell(api.TimerFired(0))
 
     def finals(self, command: int) -> list[api.Action]:
-        return [a for a in self.log if isinstance(a, api.Shed | api.Fail) and a.command == command]
+        return [
+            a
+            for a in self.log
+            if isinstance(a, api.RejectRequest | api.FailRequest) and a.request_id == command
+        ]
 
     def zones(self, command: int) -> set[int]:
         zone = {listed.id: listed.zone for listed in FLEET}
@@ -145,8 +153,8 @@
     host.now += 4 * S
     for command in jam[:40]:
         host.end(command, latency=8 * S)  # forty times the work
-    believed = next(a for a in host.tell(api.Asked()) if isinstance(a, api.Believed))
-    pressed = {each.zone for each in believed.engines if each.overloaded}
+    believed = next(a for a in host.tell(api.SnapshotRequested()) if isinstance(a, api.GatewaySnapshot))
+    pressed = {each.zone for each in believed.endpoints if each.overloaded}
     fresh = host.take("state")
     assert pressed <= {0} and host.zones(fresh) == {1} and not host.finals(fresh)
 
@@ -171,7 +179,7 @@
     host.pass_time(S)
     assert not host.sent.get(held) and not host.finals(held)
     host.pass_time(2 * S)
-    assert host.finals(held) == [api.Shed(held, 500 * MS)] and host.step() is Step.DRAINING
+    assert host.finals(held) == [api.RejectRequest(held, 500 * MS)] and host.step() is Step.DRAINING
     host.end(running)
     host.pass_time(int(5.6 * S))
     late = host.take()
@@ -192,20 +200,20 @@
     host.pass_time(20 * S)
     assert host.zones(load) == {0} and host.step() is Step.DONE
     rested = [move.since for move in host.disk if move.step in (Step.RESTING, Step.SWITCHED)]
-    assert rested[1] - rested[0] >= UNIQUED.remembered_for
+    assert rested[1] - rested[0] >= UNIQUED.deduplication_window
 
 
 def test_a_repeat_that_comes_behind_the_fence_is_not_taken_for_new_in_the_new_cell() -> None:
     host = Host()
     load = host.take(profile=1)
-    host.tell(api.ClientGone(load))  # its reply is lost, and it may have run
+    host.tell(api.ClientDisconnected(load))  # its reply is lost, and it may have run
     host.end(load, api.Outcome.CANCELLED)
     host.tell(MoveTenant("uni-a", "west", "by hand"))
     host.pass_time(int(4.9 * S))  # while the engines of the old cell still remember its mark
     repeat = host.take(profile=1)
     host.pass_time(10 * S)
     assert host.step() is Step.DONE
-    assert not host.sent.get(repeat) and [type(each) for each in host.finals(repeat)] == [api.Shed]
+    assert not host.sent.get(repeat) and [type(each) for each in host.finals(repeat)] == [api.RejectRequest]
 
 
 def test_a_send_that_never_ends_undoes_the_move_in_bounded_time() -> None:
@@ -223,7 +231,11 @@
     host.pass_time(3 * S)
     assert host.step() is Step.RESTING
     held = host.take(profile=3)
-    host.tell(api.EngineNews(api.ListKind.CHANGES, (replace(FLEET[2], state=api.State.GONE),)))
+    host.tell(
+        api.EndpointListReceived(
+            api.EndpointListKind.DELTA, (replace(FLEET[2], status=api.EndpointStatus.REMOVED),)
+        )
+    )
     host.pass_time(S)
     assert host.step() is Step.UNDONE and host.zones(held) == {0}
     host.tell(MoveTenant("uni-a", "west", "again"))
@@ -302,20 +314,20 @@
 
 def test_what_carries_a_mark_is_not_sent_to_a_lender_whose_engines_do_not_know_it() -> None:
     host = Host(plan(cells=(Cell("east", (EAST,), empty=Empty.BORROW, lender="west"), Cell("west", (WEST,)))))
-    gone = tuple(replace(each, state=api.State.GONE) for each in FLEET[:2])
-    host.tell(api.EngineNews(api.ListKind.CHANGES, gone))
+    gone = tuple(replace(each, status=api.EndpointStatus.REMOVED) for each in FLEET[:2])
+    host.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, gone))
     marked = host.take(profile=1)
     assert not host.sent.get(marked) and host.finals(marked) and host.zones(host.take()) == {1}
 
 
 def test_a_cell_that_is_empty_refuses_or_borrows_as_told() -> None:
-    gone = tuple(replace(each, state=api.State.GONE) for each in FLEET[:2])
+    gone = tuple(replace(each, status=api.EndpointStatus.REMOVED) for each in FLEET[:2])
     for cell, answered in (
         (Cell("east", (EAST,)), False),
         (Cell("east", (EAST,), empty=Empty.BORROW, lender="west"), True),
     ):
         host = Host(plan(cells=(cell, Cell("west", (WEST,)))))
-        host.tell(api.EngineNews(api.ListKind.CHANGES, gone))
+        host.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, gone))
         command = host.take()
         assert host.zones(command) == ({1} if answered else set()) and bool(host.finals(command)) != answered
 
@@ -324,7 +336,7 @@
     host = Host()
     command = host.take()
     moved = replace(FLEET[0], zone=1)
-    host.tell(api.EngineNews(api.ListKind.CHANGES, (moved, replace(FLEET[1], zone=1))))
+    host.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, (moved, replace(FLEET[1], zone=1))))
     host.end(command, api.Outcome.RESET)
     host.pass_time(7 * S)
     assert len(host.sent[command]) == 1 and host.finals(command)
@@ -388,7 +400,7 @@
     def arrives(self, tenant: str, profile: int) -> None:
         command = self.host.take(tenant, profile)
         if profile == 1:
-            self.mark_of[command] = (command, self.host.now + UNIQUED.remembered_for)
+            self.mark_of[command] = (command, self.host.now + UNIQUED.deduplication_window)
         self._note()
 
     @precondition(lambda self: any(until > self.host.now for _, until in self.mark_of.values()))
--- a/tests/cells/test_poison.py
+++ b/tests/cells/test_poison.py
@@ -9,19 +9,21 @@
 from hypothesis import strategies as st
 
 from lotusstream import interface as api
-from lotusstream.cells.blame import Blame
-from lotusstream.cells.poison import PoisonJudge, PoisonTerms
+from lotusstream.cells.fault_attribution import FaultAttribution
+from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonTerms
 
 TERMS = PoisonTerms(bound=5.0, half_life=30 * S, stay=60 * S, cell="ward")
 ENGINES = [bytes([n] * 6) for n in range(4)]
 
 
-def ended(engine: bytes, outcome: api.Outcome, work: int | None = 100, heard: bool = True) -> api.Ended:
-    return api.Ended(1, 0, engine, outcome, 100, True, work, None, None, heard)
+def ended(
+    engine: bytes, outcome: api.Outcome, work: int | None = 100, heard: bool = True
+) -> api.AttemptEnded:
+    return api.AttemptEnded(1, 0, engine, outcome, 100, True, work, None, None, heard)
 
 
 def test_a_tenant_whose_every_command_kills_its_engine_is_found_and_its_neighbours_are_not() -> None:
-    judge, now, rng = PoisonJudge(TERMS), S, random.Random(3)
+    judge, now, rng = PoisonRequestDetector(TERMS), S, random.Random(3)
     tenants = [f"t{n}" for n in range(8)]
     for turn in range(400):
         now += S // 20
@@ -43,7 +45,7 @@
 
 def test_errors_and_work_that_runs_away_are_blamed_on_their_tenant_alone() -> None:
     for outcome, work in ((api.Outcome.ERROR, None), (api.Outcome.ANSWERED, 1000)):
-        judge = PoisonJudge(TERMS)
+        judge = PoisonRequestDetector(TERMS)
         for turn in range(20):
             for tenant in ("feed", "good"):
                 judge.sent(S + turn, tenant, ENGINES[0])
@@ -54,7 +56,7 @@
 
 
 def test_where_everyone_fails_nobody_is_to_blame() -> None:
-    judge = PoisonJudge(TERMS)
+    judge = PoisonRequestDetector(TERMS)
     for turn in range(200):
         tenant = f"t{turn % 10}"
         judge.sent(S + turn, tenant, ENGINES[0])
@@ -66,7 +68,7 @@
 def test_blame_is_never_less_than_certain_nor_more_than_most_and_takes_bounded_memory(
     who: list[int], most: int
 ) -> None:
-    blame, true = Blame(most, 10 * S), dict[str, float]()
+    blame, true = FaultAttribution(most, 10 * S), dict[str, float]()
     for at, each in enumerate(who):
         now, tenant = at * S, str(each)
         blame.add(now, tenant, 1.0)
@@ -80,7 +82,7 @@
 
 
 def test_blame_fades_over_years_without_losing_its_order() -> None:
-    blame = Blame(10, S)
+    blame = FaultAttribution(10, S)
     for at in range(5000):
         blame.add(at * S, "old" if at < 10 else "new", 1.0)
     assert blame.of(5000 * S, "old").most < 1e-9 and 0.9 < blame.of(4999 * S, "new").certain < 2.1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,7 @@
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary
 
 from lotusstream import interface as api
-from lotusstream.lab.parties import (
+from lotusstream.lab.stand_ins import (
     CALLS,
     LIMIT,
     Call,
@@ -39,40 +39,59 @@
 
 MS, S = 1_000, 1_000_000
 
-LOOKUP = api.Profile(S, 0.0, 6 * S, 1.0, 0.1, api.Effect.REPLAYABLE, api.Scope.ALL, 0,
+LOOKUP = api.Profile(S, 0.0, 6 * S, 1.0, 0.1, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0,
                      False, None, None, False, True, 1)  # fmt: skip
-LOAD = replace(LOOKUP, target=3 * S, client_timeout=25 * S, loads=True, waits=False, threads=2)
-ONCE = replace(LOAD, effect=api.Effect.NON_REPLAYABLE, in_order=True)
-UNIQUED = replace(LOAD, effect=api.Effect.UNIQUED, scope=api.Scope.ZONE, remembered_for=5 * S)
+LOAD = replace(
+    LOOKUP, latency_objective=3 * S, client_timeout=25 * S, is_load=True, waits_for_loads=False, threads=2
+)
+ONCE = replace(LOAD, idempotency=api.Idempotency.NOT_IDEMPOTENT, ordered_by_key=True)
+UNIQUED = replace(
+    LOAD,
+    idempotency=api.Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=api.DeduplicationScope.ZONE,
+    deduplication_window=5 * S,
+)
 BOUND = replace(LOOKUP, kinds=frozenset({1}))
 PROFILES = (LOOKUP, LOAD, ONCE, UNIQUED, BOUND)
 
 
 class Host:
     def __init__(self, **changes: object) -> None:
-        duties = api.Duties(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
-        allowed = api.Allowed(4, True, True, False, False, True, 500 * MS, False)
-        start = api.Started(7, 1, 5 * MS, PROFILES, (api.Kind(8.0, 0.0), api.Kind(8.0, 0.0)), 1.0, 0,
-                            False, allowed, duties)  # fmt: skip
+        duties = api.RuleLimits(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
+        allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False)
+        start = api.GatewayStarted(
+            7,
+            1,
+            5 * MS,
+            PROFILES,
+            (api.EndpointKind(8.0, 0.0), api.EndpointKind(8.0, 0.0)),
+            1.0,
+            0,
+            False,
+            allowed,
+            duties,
+        )
         named = {key: value for key, value in changes.items() if hasattr(duties, key)}
         rest = {key: value for key, value in changes.items() if not hasattr(duties, key)}
         self.now, self.ids, self.gateway = S, 100, Gateway()
         self.log: list[api.Action] = []
-        self.tell(replace(start, duties=replace(duties, **named), **rest))
+        self.tell(replace(start, rule_limits=replace(duties, **named), **rest))
 
     def tell(self, *events: api.Event) -> list[api.Action]:
-        actions = [a for event in (*events, api.Settled()) for a in self.gateway.handle(self.now, event)]
+        actions = [a for event in (*events, api.BatchEnded()) for a in self.gateway.handle(self.now, event)]
         self.log += actions
-        return [action for action in actions if not isinstance(action, api.Wake | api.Resources)]
+        return [action for action in actions if not isinstance(action, api.SetTimer | api.SetResources)]
 
-    def engines(self, *engines: api.Engine, kind: api.ListKind = api.ListKind.FULL) -> list[api.Action]:
-        return self.tell(api.EngineNews(kind, engines))
+    def engines(
+        self, *engines: api.EndpointEntry, kind: api.EndpointListKind = api.EndpointListKind.SNAPSHOT
+    ) -> list[api.Action]:
+        return self.tell(api.EndpointListReceived(kind, engines))
 
     def take(self, profile: int = 0, group: int = 1, key: int | None = None, timeout: int | None = None,
              hint: int | None = 200 * MS) -> int:  # fmt: skip
         self.ids += 1
         limit = timeout or PROFILES[profile].client_timeout
-        self.tell(api.Arrived(self.ids, profile, hint, None, limit, group, key))
+        self.tell(api.RequestReceived(self.ids, profile, hint, None, limit, group, key))
         return self.ids
 
     def end(self, command: int, outcome: api.Outcome, after: int = 200 * MS,
@@ -81,26 +100,42 @@
         self.pass_time(after)
         sends = self.sends(command)
         over = outcome is api.Outcome.ANSWERED
-        return self.tell(api.Ended(command, len(sends) - 1, sends[-1].engine, outcome, after, over,
-                                   None, None, None, heard or outcome in api.ITS_OWN_WORD))  # fmt: skip
+        return self.tell(
+            api.AttemptEnded(
+                command,
+                len(sends) - 1,
+                sends[-1].endpoint_id,
+                outcome,
+                after,
+                over,
+                None,
+                None,
+                None,
+                heard or outcome in api.REPORTED_BY_ENDPOINT,
+            )
+        )
 
     def pass_time(self, span: int) -> list[api.Action]:
         end, seen = self.now + span, len(self.log)
-        while due := [a.at for a in self.log if isinstance(a, api.Wake) and self.now < a.at <= end]:
+        while due := [a.at for a in self.log if isinstance(a, api.SetTimer) and self.now < a.at <= end]:
             self.now = min(due)
-            self.tell(api.Woken(self.now))
+            self.tell(api.TimerFired(self.now))
         self.now = end
         return self.log[seen:]
 
-    def sends(self, command: int | None = None) -> list[api.Send]:
-        return [a for a in self.log if isinstance(a, api.Send) and command in (None, a.command)]
+    def sends(self, command: int | None = None) -> list[api.StartAttempt]:
+        return [a for a in self.log if isinstance(a, api.StartAttempt) and command in (None, a.request_id)]
 
     def finals(self, command: int) -> list[api.Action]:
-        return [a for a in self.log if isinstance(a, api.Shed | api.Fail) and a.command == command]
+        return [
+            a
+            for a in self.log
+            if isinstance(a, api.RejectRequest | api.FailRequest) and a.request_id == command
+        ]
 
 
-def engine(name: int, **changes: object) -> api.Engine:
-    return replace(api.Engine(bytes([name] * 6), api.State.READY, 0, 0, 0, 0), **changes)
+def engine(name: int, **changes: object) -> api.EndpointEntry:
+    return replace(api.EndpointEntry(bytes([name] * 6), api.EndpointStatus.READY, 0, 0, 0, 0), **changes)
 
 
 @pytest.fixture
