--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -6,16 +6,16 @@
 import pytest
 
 from benchmarks.planted_copies import PLANTED, caught
-from lotusstream.copies import manager as mg
 from lotusstream.copies import messages as ms
 from lotusstream.copies import replica as rp
-from lotusstream.copies.scrub import Odd, odd_ones
+from lotusstream.copies import shard_controller as mg
+from lotusstream.copies.anti_entropy import Odd, odd_ones
 from lotusstream.copies.shards import Holder, Place, placed, shard_of
 from lotusstream.lab.copies import TERMS, CopyScene, CopyWorld, play
 from lotusstream.lab.world import S
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.copies import ManagerTask
-from lotusstream.net.tasks import Around
+from lotusstream.net.tasks import TaskContext
 
 SPAN = 20
 
@@ -82,7 +82,7 @@
     shard = shard_of("key", TERMS.shards)
     answered = ms.Holding("key", "p", ms.Held.ANSWERED, "g", 1 << 60, b"rows")
     kept = rp.read_back([ms.KeptOp(shard, ms.Op(23, 7, answered))])
-    copy = rp.Replicas(COPY, "anew", TERMS, kept, 0)
+    copy = rp.ReplicaSet(COPY, "anew", TERMS, kept, 0)
     woken = ms.Assigned(shard, 21, OLD, "old", (COPY,))
     assert copy.handle(1, rp.Heard(OLD, ms.Begin(woken))) == [rp.Say(OLD, ms.Deposed(shard, 23))]
     copy.handle(2, rp.Heard(OLD, ms.Fill(shard, 21, -1, 21, 6)))
@@ -92,7 +92,7 @@
 def test_a_manager_whose_answer_was_lost_hears_what_was_agreed_on_within_a_lease():
     """Seed 275: it took a shard for whole that had been left with one copy, and mended it never."""
     known = ms.Assigned(0, 14, HOME, "s", (COPY, OLD))
-    manager = mg.Manager(TERMS, [known], 0)
+    manager = mg.ShardController(TERMS, [known], 0)
     actions = manager.handle(TERMS.leases.length, mg.Tick())
     assert mg.LookUp() in actions
     now = ms.Assigned(0, 15, HOME, "s", (COPY,))
@@ -103,13 +103,13 @@
 def test_a_home_that_leaves_as_planned_is_followed_at_once_and_promises_nothing_more():
     holders = [holder(name, name, "z", disk) for name, disk in (("g1", "d1"), ("g2", "d2"), ("g3", "d3"))]
     known = ms.Assigned(0, 4, HOME, "g1", (COPY, OLD))
-    manager = mg.Manager(TERMS, [known], 0)
+    manager = mg.ShardController(TERMS, [known], 0)
     for each in holders:
         assert not [a for a in manager.handle(1, mg.Beacon(each, each.machine)) if isinstance(a, mg.Propose)]
     told = manager.handle(2, mg.Beacon(holders[0], "g1", left=True))
     (proposed,) = [action.assigned for action in told if isinstance(action, mg.Propose)]
     assert (proposed.epoch, proposed.home) == (5, COPY)
-    leaving = rp.Replicas(HOME, "g1", TERMS, {}, 0)
+    leaving = rp.ReplicaSet(HOME, "g1", TERMS, {}, 0)
     leaving.handle(1, rp.LeaseFrom(1))
     assert leaving.leased
     leaving.handle(2, rp.Leave())
@@ -121,7 +121,7 @@
     """Seed 843: its lease was renewed before it heard of the epochs that it had missed."""
     shard = shard_of("key", TERMS.shards)
     sent = ms.Holding("key", "p", ms.Held.SENT, "g", 1 << 60)
-    home = rp.Replicas(HOME, "s", TERMS, rp.read_back([ms.KeptOp(shard, ms.Op(4, 1, sent))]), 0)
+    home = rp.ReplicaSet(HOME, "s", TERMS, rp.read_back([ms.KeptOp(shard, ms.Op(4, 1, sent))]), 0)
     home.handle(0, rp.Learnt(ms.Assigned(shard, 4, HOME, "s", (COPY,))))
     home.handle(0, rp.LeaseFrom(0, {shard: 4}))
     home.handle(0, rp.Heard(COPY, ms.Stand(shard, 4, "c", 4, 1)))
@@ -139,7 +139,7 @@
 def test_a_home_gets_no_lease_while_another_in_its_place_may_be_agreed_on():
     names = {"g1": "d1", "g2": "d2", "g3": "d3"}
     holders = {name: holder(name, name, "z", disk) for name, disk in names.items()}
-    manager = mg.Manager(TERMS, [ms.Assigned(0, 4, HOME, "g1", (COPY, OLD))], 0)
+    manager = mg.ShardController(TERMS, [ms.Assigned(0, 4, HOME, "g1", (COPY, OLD))], 0)
     for name, each in holders.items():
         manager.handle(0, mg.Beacon(each, name))
     late = TERMS.leases.length
@@ -159,13 +159,13 @@
 
 def test_a_home_whose_disk_came_back_with_less_makes_room_for_whoever_has_more():
     shard = shard_of("key", TERMS.shards)
-    home = rp.Replicas(HOME, "s", TERMS, {}, 0)  # rolled back to nothing
+    home = rp.ReplicaSet(HOME, "s", TERMS, {}, 0)  # rolled back to nothing
     home.handle(0, rp.Learnt(ms.Assigned(shard, 4, HOME, "s", (COPY,))))
     home.handle(0, rp.LeaseFrom(0, {shard: 4}))
     told = home.handle(1, rp.Heard(COPY, ms.Stand(shard, 4, "c", 3, 9)))
     assert not [each for each in told if isinstance(each, rp.Say) and isinstance(each.word, ms.Fill)]
     assert home.yields() == {shard: (4, COPY)}
-    manager = mg.Manager(TERMS, [ms.Assigned(shard, 4, HOME, "g1", (COPY,))], 0)
+    manager = mg.ShardController(TERMS, [ms.Assigned(shard, 4, HOME, "g1", (COPY,))], 0)
     manager.handle(1, mg.Beacon(holder("g2", "g2", "z", "d2"), "g2"))
     told = manager.handle(2, mg.Beacon(holder("g1", "g1", "z", "d1"), "g1", yields=home.yields()))
     (asked,) = [action.assigned for action in told if isinstance(action, mg.Propose)]
@@ -177,7 +177,7 @@
     old = ms.Holding("key", "p", ms.Held.SENT, "g", 1 << 60)
     kept = rp.read_back([ms.KeptOp(shard, ms.Op(4, 1, old))])
     terms = replace(TERMS, promise=1, most=1)
-    home = rp.Replicas(HOME, "s", terms, kept, 0)
+    home = rp.ReplicaSet(HOME, "s", terms, kept, 0)
     home.handle(0, rp.Learnt(ms.Assigned(shard, 4, HOME, "s")))
     home.handle(0, rp.LeaseFrom(0, {shard: 4}))
     other = next(f"k{at}" for at in range(99) if shard_of(f"k{at}", TERMS.shards) == shard)
@@ -201,7 +201,7 @@
         return ""
 
     supervisor = Supervisor()
-    around = Around("g1", lambda: next(looks, 5), lambda _: None, supervisor, put)
+    around = TaskContext("g1", lambda: next(looks, 5), lambda _: None, supervisor, put)
     task = ManagerTask(around, TERMS, lambda *_: None, put, look)
     task.begin(5)
     async with asyncio.timeout(10):
--- a/tests/examine/test_examine.py
+++ b/tests/examine/test_examine.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 
 from lotusstream import interface as api
-from lotusstream.examine import examiner as ex
-from lotusstream.examine import hearsay as hs
-from lotusstream.examine.news import ExamineTerms, News, Row
+from lotusstream.healthcheck import checker as ex
+from lotusstream.healthcheck import peer_reports as hs
+from lotusstream.healthcheck.reports import HealthCheckOptions, HealthReports, Row
 
 MS, S = 1_000, 1_000_000
-TERMS = ExamineTerms(S, most=2)
+TERMS = HealthCheckOptions(S, most=2)
 A, B, C = b"a", b"b", b"c"
 
 
@@ -17,7 +17,7 @@
     """An examiner, and what it said last."""
 
     def __init__(self, *engines, token=1):
-        self.now, self.examiner = 0, ex.Examiner(token, TERMS, 0)
+        self.now, self.examiner = 0, ex.HealthChecker(token, TERMS, 0)
         self.news, self.looks = None, []
         self.tell(ex.Listed(engines))
         self.wait(S)
@@ -87,22 +87,22 @@
 
 
 def hearing(name="n1"):
-    return hs.Hearsay(name, ("k1", "k2", "k3"), TERMS, 0)
+    return hs.PeerReports(name, ("k1", "k2", "k3"), TERMS, 0)
 
 
 def news(number, *rows, token=1):
-    return hs.Heard(News(token, number, tuple(Row(*row) for row in rows)))
+    return hs.Heard(HealthReports(token, number, tuple(Row(*row) for row in rows)))
 
 
 def words(actions):
-    return [each for each in actions if isinstance(each, api.Hearsay)]
+    return [each for each in actions if isinstance(each, api.PeerHealthReported)]
 
 
 def test_only_an_engine_that_was_silent_is_told_of_as_back():
     here = hearing()
     assert not words(here.handle(1, news(1, (A, True))))  # it may answer and do no work all along
-    assert words(here.handle(2, news(2, (A, False)))) == [api.Hearsay(A, False)]
-    assert words(here.handle(3, news(3, (A, True)))) == [api.Hearsay(A, True)]
+    assert words(here.handle(2, news(2, (A, False)))) == [api.PeerHealthReported(A, False)]
+    assert words(here.handle(3, news(3, (A, True)))) == [api.PeerHealthReported(A, True)]
     assert not words(here.handle(4, news(4, (A, True))))
 
 
@@ -117,12 +117,12 @@
     here = hearing()
     here.handle(1, news(7, (A, False), token=1))
     assert not words(here.handle(2, news(1, token=2)))  # it has not looked yet
-    assert words(here.handle(3, news(2, (A, True), token=2))) == [api.Hearsay(A, True)]
+    assert words(here.handle(3, news(2, (A, True), token=2))) == [api.PeerHealthReported(A, True)]
 
 
 def test_news_that_was_kept_for_long_says_nothing():
     here = hearing()
-    late = hs.Heard(News(1, 1, (Row(A, False),)), TERMS.old + 1)
+    late = hs.Heard(HealthReports(1, 1, (Row(A, False),)), TERMS.old + 1)
     assert not words(here.handle(1, late))
     here.handle(2, news(2, (A, False)))
     here.handle(2 + 2 * TERMS.old + 1, hs.Tick())
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -14,25 +14,25 @@
     came, while the warm ones drowned."""
     found: Counter[bool] = Counter()
     for number in range(20):
-        host = Host(seed=number, gateways=20)
-        host.engines(*(engine(name, started=(host.now if name % 2 else 0)) for name in range(1, 13)))
+        host = Host(seed=number, gateway_count=20)
+        host.engines(*(engine(name, started_at=(host.now if name % 2 else 0)) for name in range(1, 13)))
         host.pass_time(6 * S)
         sent = []
         for group in range(30):  # four a second: nothing is saved up for a cold engine
             host.pass_time(S // 4)
             sent.append(host.sends(host.take(group=group)))
-        found.update(bool(send[0].engine[0] % 2) for send in sent[10:] if send)
+        found.update(bool(send[0].endpoint_id[0] % 2) for send in sent[10:] if send)
     assert 0.1 < found[True] / found.total() < 0.35  # 0.3 to 1: 0.23
 
 
 def test_what_a_cold_engine_gets_of_all_stays_in_its_budget() -> None:
     sent = 0
     for number in range(20):
-        host = Host(seed=number, gateways=20)
-        host.engines(*(engine(name, started=(host.now if name % 2 else 0)) for name in range(1, 13)))
+        host = Host(seed=number, gateway_count=20)
+        host.engines(*(engine(name, started_at=(host.now if name % 2 else 0)) for name in range(1, 13)))
         for group in range(100):
             command = host.take(group=group)
-            sent += sum(send.engine == engine(1).id for send in host.sends(command))
+            sent += sum(send.endpoint_id == engine(1).id for send in host.sends(command))
             host.pass_time(S // 100)
     work = sent * S  # none has told its work: each is taken for twice its profile's guess
     assert work <= 3.0 * 0.3 * 8 * S
@@ -53,8 +53,8 @@
 def cold_fleet(seed: int, known_for: int) -> list[Host]:
     found = []
     for number in range(30):
-        host = Host(seed=seed * 1000 + number, gateways=30)
-        host.engines(engine(1, started=host.now - known_for))
+        host = Host(seed=seed * 1000 + number, gateway_count=30)
+        host.engines(engine(1, started_at=host.now - known_for))
         found.append(host)
     return found
 
@@ -93,11 +93,11 @@
 def test_a_wall_clock_that_is_wrong_by_an_hour_forgets_no_slow_start(clock_off: int) -> None:
     """An engine that a list tells as just started looked warm where the clock ran an hour ahead, and cold for
     an hour where it ran behind."""
-    host = Host(gateways=30)
+    host = Host(gateway_count=30)
     host.now += 2 * 3600 * S
     host.engines(engine(2))
     true_now = host.now - clock_off
-    host.engines(engine(1, started=true_now - S), kind=api.ListKind.CHANGES)
+    host.engines(engine(1, started_at=true_now - S), kind=api.EndpointListKind.DELTA)
     endpoint = host.gateway._endpoint(engine(1).id)
     assert host.gateway._in_slow_start(endpoint)
     host.pass_time(16 * S)
--- a/tests/fleet/test_copies_on_processes.py
+++ b/tests/fleet/test_copies_on_processes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lotusstream.copies.shards import shard_of
-from lotusstream.lab.fleet.keeping import Keeping
+from lotusstream.lab.fleet.idempotency_client import Keeping
 from lotusstream.lab.fleet.rig import FleetRig, Lost
 from lotusstream.protocol import control as wire
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from lotusstream.lab.fleet.askers import Asker
+from lotusstream.lab.fleet.history_checker import judge
+from lotusstream.lab.fleet.lock_clients import Asker
 from lotusstream.lab.fleet.relay import Manner
 from lotusstream.lab.fleet.rig import FleetRig, Lost, held_port
-from lotusstream.lab.fleet.witness import judge
 from lotusstream.leases.granter import LeaseTerms
 from lotusstream.net.actor import Supervisor
 from lotusstream.protocol import control as wire
--- a/tests/fleet/test_promises_on_processes.py
+++ b/tests/fleet/test_promises_on_processes.py
@@ -12,7 +12,7 @@
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.lab.fleet.run import COPIES, play
 from lotusstream.lab.fleet.schedule import Fault, Schedule
-from lotusstream.lab.parties import Failed
+from lotusstream.lab.stand_ins import Failed
 
 DIRECTIVES = (
     "heartbeat 60ms", "election 400ms", "lease 2s", "drift 5%", "copies 3 promise 2", "shards 4",
--- a/tests/fleet/test_two_versions_on_processes.py
+++ b/tests/fleet/test_two_versions_on_processes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lotusstream.lab.fleet.customers import Customers
+from lotusstream.lab.fleet.clients import Customers
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.lab.fleet.run import KEEPS
 from lotusstream.lab.fleet.run import SHARDS as COUNT
--- a/tests/golden/golden_clients.py
+++ b/tests/golden/golden_clients.py
@@ -77,6 +77,6 @@
     for name in ("unknown", "process-empty"):
         try:
             front.decode(written_by_clients()[name])
-        except front.UnusableMessage as error:
+        except front.MessageFormatError as error:
             found[name] = error.fault or b""
     return found
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -16,12 +16,12 @@
 from lotusstream.copies import messages as copies
 from lotusstream.copies.messages import Held
 from lotusstream.copies.shards import Holder, Place
-from lotusstream.examine.news import News, Row
+from lotusstream.healthcheck.reports import HealthReports, Row
 from lotusstream.leases import table as leases
 from lotusstream.net.copies import _RECORDS as COPY_RECORD_DECODER
 from lotusstream.net.copies import Identity as CopiesIdentity
-from lotusstream.net.keeper import _RECORDS as QUORUM_RECORD_DECODER
 from lotusstream.net.moves import _STEPS as MOVE_DECODER
+from lotusstream.net.raft_node import _RECORDS as QUORUM_RECORD_DECODER
 from lotusstream.protocol import control, peers
 from lotusstream.quorum import messages as quorum
 from lotusstream.quorum.messages import Kind
@@ -133,7 +133,7 @@
     "keep": peers.Keep(21, True, HOLDINGS[1], "g2.session/1/0"),
     "kept": peers.Kept(21, "known", HOLDINGS[0], "why", "g2"),
     "hear": peers.Hear(4_000_000),
-    "tidings": peers.Tidings(News(4, 2, (Row(b"s-1", False), Row(b"s-2", True))), 1500),
+    "tidings": peers.Tidings(HealthReports(4, 2, (Row(b"s-1", False), Row(b"s-2", True))), 1500),
     **{f"ask-{name}": peers.Ask(31, wish) for name, wish in LEASE_WISHES.items()},
     **{
         f"quorum-{name}": peers.Quorum(quorum.Envelope("g1", "g1-disk", "g2", "g2-disk", "g1-disk-3", body))
--- a/tests/golden/golden_stores.py
+++ b/tests/golden/golden_stores.py
@@ -9,8 +9,8 @@
 import msgspec
 from golden_messages import HOLDINGS, CopiesIdentity, Kind, copies, lease_table, leases, quorum
 
-from lotusstream.quorum.journal import write_members
-from lotusstream.record.log import Log
+from lotusstream.quorum.replicated_log import write_members
+from lotusstream.wal.log import Log
 
 FOUNDERS = tuple(quorum.Member(f"g{at}", f"g{at}-disk") for at in (1, 2, 3))
 LEARNER = quorum.Member("g4", "g4-disk", False)
--- a/tests/golden/test_golden_clients.py
+++ b/tests/golden/test_golden_clients.py
@@ -41,11 +41,11 @@
 
 def test_fields_of_a_request_are_understood() -> None:
     fields = front.command_fields(FIELDS, read_settings(1, settings()))
-    assert fields == front.CommandFields(1, "00000000000000aa", 6_000_000, "m" * 32, 20_500, 96.0)
+    assert fields == front.RequestFields(1, "00000000000000aa", 6_000_000, "m" * 32, 20_500, 96.0)
 
 
 @pytest.mark.parametrize("name", ["unknown", "process-empty"])
 def test_a_message_that_can_not_be_used_gets_a_fault(name: str) -> None:
-    with pytest.raises(front.UnusableMessage) as caught:
+    with pytest.raises(front.MessageFormatError) as caught:
         front.decode(read_bytes("client_requests")[name])
     assert caught.value.fault == read_bytes("client_faults")[name]
--- a/tests/golden/test_golden_ctl.py
+++ b/tests/golden/test_golden_ctl.py
@@ -11,8 +11,8 @@
 
 import lotusstream
 from lotusstream.cells.move import Step
-from lotusstream.interface import Outcome, Reason
-from lotusstream.quorum import keeper
+from lotusstream.interface import Outcome, RejectionReason
+from lotusstream.quorum import node
 
 PROGRAM = Path(lotusstream.__file__).parent
 PAGES = FOLDER.parent.parent / "docs"
@@ -28,11 +28,11 @@
 def counter_names(source: str) -> set[str]:
     """What is counted in this source; `{}` stands for what is put in while running."""
     found = set()
-    for node in ast.walk(ast.parse(source)):
-        if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
-            counted = ast.unparse(node.func.value).lower().endswith("counters")
-            if counted and node.func.attr in COUNTING_METHODS:
-                found.add(written(node.args[0]))
+    for item in ast.walk(ast.parse(source)):
+        if isinstance(item, ast.Call) and isinstance(item.func, ast.Attribute) and item.args:
+            counted = ast.unparse(item.func.value).lower().endswith("counters")
+            if counted and item.func.attr in COUNTING_METHODS:
+                found.add(written(item.args[0]))
     return found
 
 
@@ -54,10 +54,10 @@
 def test_what_is_put_into_names_of_counters_stays() -> None:
     """Counted as `sends OUTCOME` and `sent again after OUTCOME`, `no result: REASON`, `moves STEP`, and
     `quorum became ROLE`."""
-    roles = (keeper.EMPTY, keeper.FOLLOWER, keeper.ASKING, keeper.CANDIDATE, keeper.LEADER)
+    roles = (node.EMPTY, node.FOLLOWER, node.ASKING, node.CANDIDATE, node.LEADER)
     told = {
         "outcome": [f"{outcome.value} {outcome.name.lower()}" for outcome in Outcome],
-        "reason": [f"{reason.value} / {reason.name.lower()}" for reason in Reason],
+        "reason": [f"{reason.value} / {reason.name.lower()}" for reason in RejectionReason],
         "step": [step.value for step in Step],
         "role": list(roles),
     }
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -5,7 +5,7 @@
 import pytest
 from golden_data import DATA, read_bytes
 
-from lotusstream.interface import Note, Outcome
+from lotusstream.interface import Outcome, ProgressKind
 from lotusstream.protocol import http
 
 HOST, CALL = "127.0.0.1:7000", "/x/00000000000000aa"
@@ -23,10 +23,10 @@
 ANSWERS = {
     "answered": http.QueryNews(Outcome.ANSWERED, None, 0.0, 2, ROWS, 80_500, 100.25),
     "answered-plain": http.QueryNews(Outcome.ANSWERED, None, 0.0, 1, ROWS, None, None),
-    "progress": http.QueryNews(None, Note.PROGRESS, 0.5),
-    "spills": http.QueryNews(None, Note.SPILLS, 12.0),
-    "waits-for-memory": http.QueryNews(None, Note.WAITS_FOR_MEMORY, 1.0),
-    "waits-for-load": http.QueryNews(None, Note.WAITS_FOR_LOAD, 2.0),
+    "progress": http.QueryNews(None, ProgressKind.PROGRESS, 0.5),
+    "spills": http.QueryNews(None, ProgressKind.SPILLS, 12.0),
+    "waits-for-memory": http.QueryNews(None, ProgressKind.WAITS_FOR_MEMORY, 1.0),
+    "waits-for-load": http.QueryNews(None, ProgressKind.WAITS_FOR_LOAD, 2.0),
     "waits-for-what": http.QueryNews(None, None, 0.0),
     "pending": http.QueryNews(None, None, 0.0),
     "full": http.QueryNews(Outcome.FULL),
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -27,7 +27,7 @@
     quorum,
 )
 
-from lotusstream.quorum.journal import write_members
+from lotusstream.quorum.replicated_log import write_members
 
 CASES = [
     pytest.param(family, name, id=f"{family.name}-{name}") for family in FAMILIES for name in family.messages
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -17,10 +17,10 @@
 
 from lotusstream.net.copies import _ASSIGNED as ASSIGNED_DECODER
 from lotusstream.net.copies import CopyStore
-from lotusstream.net.keeper import open_store
 from lotusstream.net.moves import read_moves
-from lotusstream.quorum.journal import Journal
-from lotusstream.record.log import Log
+from lotusstream.net.raft_node import open_store
+from lotusstream.quorum.replicated_log import Journal
+from lotusstream.wal.log import Log
 
 MEMBERS_OF_THE_RUN = (
     quorum.Member("g1", "g1-b09d130724b0"),
--- a/tests/levels/rig.py
+++ b/tests/levels/rig.py
@@ -7,16 +7,23 @@
 from dataclasses import replace
 
 from lotusstream import interface as api
-from lotusstream.levels.gauge import Health
-from lotusstream.levels.keeper import KeeperEvent, LevelKeeper
+from lotusstream.levels.controller import KeeperEvent, LevelController
 from lotusstream.levels.ladder import Ladder
+from lotusstream.levels.signal_evaluator import Health
 from lotusstream.operator.file import read_operator_file
 
 MS, S = 1_000, 1_000_000
 NAMES = ("lookup", "report")
-LOOKUP = api.Profile(S, 0.0, 6 * S, 1.0, 0.1, api.Effect.REPLAYABLE, api.Scope.ALL, 0,
+LOOKUP = api.Profile(S, 0.0, 6 * S, 1.0, 0.1, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0,
                      False, None, None, False, True, 1)  # fmt: skip
-REPORT = replace(LOOKUP, target=2 * S, client_timeout=25 * S, benefit=8.0, kinds=frozenset({1}), threads=2)
+REPORT = replace(
+    LOOKUP,
+    latency_objective=2 * S,
+    client_timeout=25 * S,
+    priority_weight=8.0,
+    kinds=frozenset({1}),
+    threads=2,
+)
 CORES, WORK = 8.0, 800 * MS
 LADDER = """ladder
   ramp 10s while used < 90%
@@ -42,17 +49,31 @@
     return found
 
 
-def started(seed: int = 7) -> api.Started:
-    duties = api.Duties(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, 0.0, 0.0, 0, 10 * S)
-    allowed = api.Allowed(4, True, True, False, False, True, 500 * MS, False)
-    return api.Started(
-        seed, 1, 5 * MS, (LOOKUP, REPORT), (api.Kind(CORES, 0.0),) * 2, 1.0, 0, False, allowed, duties
+def started(seed: int = 7) -> api.GatewayStarted:
+    duties = api.RuleLimits(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, 0.0, 0.0, 0, 10 * S)
+    allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False)
+    return api.GatewayStarted(
+        seed, 1, 5 * MS, (LOOKUP, REPORT), (api.EndpointKind(CORES, 0.0),) * 2, 1.0, 0, False, allowed, duties
     )
 
 
-def belief(name: int, kind: int = 0, **changes: object) -> api.Belief:
-    plain = api.Belief(
-        bytes([name] * 6), api.State.READY, 0, kind, CORES, 4, 4, 0, 1.0, False, 16.0, 2.0, 0, None, None
+def belief(name: int, kind: int = 0, **changes: object) -> api.EndpointSnapshot:
+    plain = api.EndpointSnapshot(
+        bytes([name] * 6),
+        api.EndpointStatus.READY,
+        0,
+        kind,
+        CORES,
+        4,
+        4,
+        0,
+        1.0,
+        False,
+        16.0,
+        2.0,
+        0,
+        None,
+        None,
     )
     return replace(plain, **changes)
 
@@ -64,16 +85,16 @@
     """`flow` lets time pass with so much load on the engines that are there."""
 
     def __init__(self, of: Ladder | None = None, seed: int = 7) -> None:
-        self.keeper = LevelKeeper(of or ladder(), started(seed), NAMES)
+        self.keeper = LevelController(of or ladder(), started(seed), NAMES)
         self.now, self.ids, self.owed = S, itertools.count(1), 0.0
-        self.engines: tuple[api.Belief, ...] = FLEET
-        self.told: list[api.Reduced] = []
+        self.engines: tuple[api.EndpointSnapshot, ...] = FLEET
+        self.told: list[api.DegradationChanged] = []
 
     def tell(self, event: api.Event | api.Action | KeeperEvent) -> None:
         for answer in self.keeper.handle(self.now, event):
-            if isinstance(answer, api.Asked):
-                self.keeper.handle(self.now, api.Believed(self.engines, 1.0, 1.0, False, 0, 0))
-            elif isinstance(answer, api.Reduced):
+            if isinstance(answer, api.SnapshotRequested):
+                self.keeper.handle(self.now, api.GatewaySnapshot(self.engines, 1.0, 1.0, False, 0, 0))
+            elif isinstance(answer, api.DegradationChanged):
                 self.told.append(answer)
 
     def flow(self, seconds: float, load: float | Callable[[float], float], *, profile: int = 0,
@@ -91,19 +112,21 @@
                 self.owed -= 1
                 self._one(profile, shed, late)
             self.now = began + (at + 1) * step
-            self.tell(api.Settled())
+            self.tell(api.BatchEnded())
         return self
 
     def _one(self, profile: int, shed: float, late: float) -> None:
         command = next(self.ids)
-        self.tell(api.Arrived(command, profile, WORK, None, 6 * S, 1, None))
+        self.tell(api.RequestReceived(command, profile, WORK, None, 6 * S, 1, None))
         if command % 100 < 100 * shed:
-            self.tell(api.Shed(command, 0))
+            self.tell(api.RejectRequest(command, 0))
         elif command % 100 < 100 * (shed + late):
-            self.tell(api.Fail(command))
+            self.tell(api.FailRequest(command))
         else:
-            self.tell(api.Send(command, self.engines[0].engine if self.engines else b"", 6 * S))
-            ended = api.Ended(command, 0, b"", api.Outcome.ANSWERED, WORK, True, WORK, None, None, True)
+            self.tell(api.StartAttempt(command, self.engines[0].endpoint_id if self.engines else b"", 6 * S))
+            ended = api.AttemptEnded(
+                command, 0, b"", api.Outcome.ANSWERED, WORK, True, WORK, None, None, True
+            )
             self.tell(ended)
 
     def rises(self, level: str) -> Rig:
@@ -116,7 +139,7 @@
     def sleeps(self, seconds: float) -> Rig:
         """The loop stands still, or the machine sleeps."""
         self.now += int(seconds * S)
-        self.tell(api.Settled())
+        self.tell(api.BatchEnded())
         return self
 
     @property
--- a/tests/levels/test_keeper.py
+++ b/tests/levels/test_keeper.py
@@ -15,9 +15,9 @@
 from rig import FLEET, LADDER, MS, Rig, S, belief, ladder, most_within, started
 
 from lotusstream import interface as api
-from lotusstream.levels.gauge import Health
+from lotusstream.levels.controller import Hold, LevelAdmission, LevelController, NewLadder, Release
 from lotusstream.levels.history import Cause
-from lotusstream.levels.keeper import Beside, Hold, LevelKeeper, NewLadder, Release
+from lotusstream.levels.signal_evaluator import Health
 from lotusstream.policy import Gateway
 
 SHAPES: dict[str, Callable[[float], Callable[[float], float]]] = {
@@ -42,7 +42,7 @@
     assert rig.level == "trimmed" and why is not None and why.cause is Cause.SIGNALS
     assert why.condition == "load > 120% for 3s" and why.ends_when == "load < 100% for 5s"
     assert [reading.signal for reading in why.readings] == ["load"] and why.readings[0].value > 1.2
-    assert rig.told[0].admitted == (0.6, 1.0) and rig.told[0].priorities == (None, None)
+    assert rig.told[0].admitted_ratios == (0.6, 1.0) and rig.told[0].priorities == (None, None)
 
 
 def test_engines_that_die_together_bring_the_level_up_by_more_than_one_rung() -> None:
@@ -50,14 +50,19 @@
     rig.engines = FLEET[:1]
     rig.flow(5, 0.8)
     assert [change.target for change in rig.keeper.history] == ["lifeline"]
-    assert rig.told[0].further is api.Further.UNRUN and rig.told[0].priorities == (None, 2)
+    assert rig.told[0].retries_allowed is api.RetriesAllowed.IF_NOT_EXECUTED and rig.told[0].priorities == (
+        None,
+        2,
+    )
 
 
 def test_lost_engines_permit_a_step_up_soon_after_another_change_and_jammed_ones_do_not() -> None:
     def second_change(seen_to_go: bool) -> list[Cause]:
         rig = Rig().rises("trimmed")
         if seen_to_go:
-            ended = api.Ended(0, 0, FLEET[2].engine, api.Outcome.RESET, 0, False, None, None, None, False)
+            ended = api.AttemptEnded(
+                0, 0, FLEET[2].endpoint_id, api.Outcome.RESET, 0, False, None, None, None, False
+            )
             rig.tell(ended)
         rig.engines = (*FLEET[:2], replace(FLEET[2], ejected_until=rig.now + 600 * S), FLEET[3])
         rig.flow(8, 1.7)
@@ -75,7 +80,7 @@
         rig.flow(0.25, 0.5)
         seen.append(rig.admitted - before)
     assert [change.target for change in rig.keeper.history] == ["lifeline", "trimmed", "full"]
-    assert 0 <= max(seen) < 0.05 and rig.admitted == 1.0 and rig.told[-1].full
+    assert 0 <= max(seen) < 0.05 and rig.admitted == 1.0 and rig.told[-1].is_full_service
 
 
 def test_admission_does_not_grow_without_room_and_falls_back_to_the_level_as_written() -> None:
@@ -127,7 +132,7 @@
     rig = Rig().flow(12, 0.5)
     for _ in range(20):
         rig.now += 250 * MS
-        rig.keeper.handle(rig.now, api.Settled())  # nobody answers what it asks
+        rig.keeper.handle(rig.now, api.BatchEnded())  # nobody answers what it asks
     assert rig.signal("load") is None and rig.signal("ready") is None
 
 
@@ -190,7 +195,7 @@
 def test_a_restart_in_mid_overload_begins_at_the_level_told() -> None:
     rig = Rig(ladder(LADDER.replace("ladder\n", "ladder\n  start trimmed for 20s\n")))
     rig.flow(1, 1.5)
-    assert rig.level == "trimmed" and rig.told[0].admitted == (0.6, 1.0)
+    assert rig.level == "trimmed" and rig.told[0].admitted_ratios == (0.6, 1.0)
     rig.flow(25, 1.5)
     assert rig.level == "trimmed"
     assert rig.flow(120, 0.3).level == "full"
@@ -199,7 +204,7 @@
 def test_a_planned_stop_keeps_the_level_as_it_is() -> None:
     rig = Rig().rises("trimmed")
     told = len(rig.told)
-    rig.tell(api.Stopping(rig.now + 3 * S))
+    rig.tell(api.ShutdownStarted(rig.now + 3 * S))
     rig.flow(60, 0.0)
     assert rig.level == "trimmed" and len(rig.told) == told and rig.keeper.standing(rig.now).stopping
 
@@ -208,7 +213,7 @@
     rig = Rig().flow(20, 0.5).flow(0.5, 6.0).flow(20, 0.5)
     assert not rig.changes()
     rig.flow(20, 8.0)
-    assert rig.level == "lifeline" and all(told.admitted[1] == 1.0 for told in rig.told)
+    assert rig.level == "lifeline" and all(told.admitted_ratios[1] == 1.0 for told in rig.told)
 
 
 def test_sixty_gateways_that_see_the_same_do_not_move_as_one() -> None:
@@ -218,34 +223,39 @@
     for which in (0, 1):
         moments = Counter(rig.changes()[which] for rig in rigs)
         assert len(moments) > 5 and max(moments.values()) <= 20
-    assert len({rig.told[-2].admitted for rig in rigs}) > 20
+    assert len({rig.told[-2].admitted_ratios for rig in rigs}) > 20
 
 
 def test_a_keeper_that_fails_leaves_the_module_at_full_service(monkeypatch: pytest.MonkeyPatch) -> None:
-    beside = Beside(Gateway().handle, LevelKeeper(ladder(), started(), ("lookup", "report")))
+    beside = LevelAdmission(Gateway().handle, LevelController(ladder(), started(), ("lookup", "report")))
     beside.handle(S, started())
     beside.handle(S, Hold("lifeline", 600 * S))
-    refused = [beside.handle(S, api.Arrived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(20)]
-    assert any(isinstance(action, api.Shed) and action.reduced for actions in refused for action in actions)
+    refused = [
+        beside.handle(S, api.RequestReceived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(20)
+    ]
+    assert any(
+        isinstance(action, api.RejectRequest) and action.degraded for actions in refused for action in actions
+    )
     monkeypatch.setattr(beside.keeper._gauge, "saw", lambda *_: 1 / 0)
-    beside.handle(2 * S, api.Arrived(90, 0, WORK_HINT, None, 6 * S, 1, None))
+    beside.handle(2 * S, api.RequestReceived(90, 0, WORK_HINT, None, 6 * S, 1, None))
     assert isinstance(beside.keeper.failed, ZeroDivisionError)
     later = [
-        beside.handle(2 * S, api.Arrived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(100, 200)
+        beside.handle(2 * S, api.RequestReceived(n, 0, WORK_HINT, None, 6 * S, 1, None))
+        for n in range(100, 200)
     ]
-    assert not any(isinstance(action, api.Shed) for actions in later for action in actions)
+    assert not any(isinstance(action, api.RejectRequest) for actions in later for action in actions)
 
 
 def test_a_module_that_began_anew_is_told_the_level_in_force() -> None:
-    keeper = LevelKeeper(ladder(), started(), ("lookup", "report"))
-    Beside(Gateway().handle, keeper).handle(S, started())
+    keeper = LevelController(ladder(), started(), ("lookup", "report"))
+    LevelAdmission(Gateway().handle, keeper).handle(S, started())
     keeper.handle(S, Hold("lifeline", 600 * S))
-    keeper.handle(S, api.Arrived(900, 1, WORK_HINT, None, 25 * S, 1, None))
-    anew = Beside(Gateway().handle, keeper)
+    keeper.handle(S, api.RequestReceived(900, 1, WORK_HINT, None, 25 * S, 1, None))
+    anew = LevelAdmission(Gateway().handle, keeper)
     anew.handle(S, started())
     assert not keeper._gauge._open  # what was open has failed: it would count as held for ever
-    shed = [anew.handle(S, api.Arrived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(50)]
-    assert sum(any(isinstance(a, api.Shed) and a.reduced for a in actions) for actions in shed) > 35
+    shed = [anew.handle(S, api.RequestReceived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(50)]
+    assert sum(any(isinstance(a, api.RejectRequest) and a.degraded for a in actions) for actions in shed) > 35
 
 
 WORK_HINT = 200 * MS
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -34,15 +34,22 @@
 from lotusstream import interface as api
 from lotusstream.deployment import read_settings
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.client import ClientConnection, ClientLeft, ClientShare, Reply, TakenCommand, Unread
+from lotusstream.net.client import (
+    ClientConnection,
+    ClientReply,
+    ClientShare,
+    ReceivedRequest,
+    RequestAbandoned,
+    Unread,
+)
 from lotusstream.net.clock import Clock
 from lotusstream.net.configuration import Configuration, read_configuration
-from lotusstream.net.connection import Connection, Pool, SocketBudget
+from lotusstream.net.connection import Connection, ConnectionPool, SocketBudget
 from lotusstream.net.decider import Decider
-from lotusstream.net.engine import CancelSend, EngineActor, ListedAs, StartSend
-from lotusstream.net.engine_list import EngineList
+from lotusstream.net.discovery import EngineList
+from lotusstream.net.endpoint import AbortAttempt, EndpointActor, ListingChanged, RunAttempt
 from lotusstream.net.gateway import GatewayServer
-from lotusstream.protocol import front, http, notices
+from lotusstream.protocol import discovery, front, http
 
 MS, S = 1_000, 1_000_000
 
@@ -91,15 +98,15 @@
 
 def start_send(
     number: int, clock: Clock, owed: Callable[[], bool] = lambda: True, left: int = 6 * S
-) -> StartSend:
+) -> RunAttempt:
     now = clock.now()
-    return StartSend(1, number, now, now + left, f"{number:016x}", "lookup", b"SELECT", None, None, owed)
+    return RunAttempt(1, number, now, now + left, f"{number:016x}", "lookup", b"SELECT", None, None, owed)
 
 
 async def test_an_answer_that_comes_twice_is_not_taken_for_that_of_the_next_query() -> None:
     engine_side, told, clock, supervisor = ToldTwice(), Line(), StillClock(), Supervisor()
     endpoint = ("127.0.0.1", await engine_side.start())
-    actor = EngineActor(b"s-1", endpoint, SocketBudget(8), 250 * MS, 30 * S, clock, told.add, supervisor)
+    actor = EndpointActor(b"s-1", endpoint, SocketBudget(8), 250 * MS, 30 * S, clock, told.add, supervisor)
     actor.start()
     for number in range(2):
         actor.post(start_send(number, clock))
@@ -119,7 +126,7 @@
     stand_in, told, clock, supervisor = StandInEngine("s-1"), Line(), StillClock(), Supervisor()
     await stand_in.start()
     endpoint = ("127.0.0.1", stand_in.port)
-    actor = EngineActor(b"s-1", endpoint, SocketBudget(8), 250 * MS, 30 * S, clock, told.add, supervisor)
+    actor = EndpointActor(b"s-1", endpoint, SocketBudget(8), 250 * MS, 30 * S, clock, told.add, supervisor)
     actor.start()
     actor.post(start_send(0, clock))
     await told.until(lambda fact: fact.number == 0)
@@ -136,17 +143,17 @@
     """A send whose connection does not come up until `up` is set."""
     stand_in, told, supervisor, budget = StandInEngine("s-1"), Line(), Supervisor(), SocketBudget(8)
     await stand_in.start()
-    asked, up, get = asyncio.Event(), asyncio.Event(), Pool.get
+    asked, up, get = asyncio.Event(), asyncio.Event(), ConnectionPool.get
 
-    async def slow(pool: Pool, **more: bool) -> Connection:
+    async def slow(pool: ConnectionPool, **more: bool) -> Connection:
         connection = await get(pool, **more)
         asked.set()
         await up.wait()
         return connection
 
-    monkeypatch.setattr(Pool, "get", slow)
+    monkeypatch.setattr(ConnectionPool, "get", slow)
     endpoint = ("127.0.0.1", stand_in.port)
-    actor = EngineActor(b"s-1", endpoint, budget, 250 * MS, 30 * S, Clock(), told.add, supervisor)
+    actor = EndpointActor(b"s-1", endpoint, budget, 250 * MS, 30 * S, Clock(), told.add, supervisor)
     actor.start()
     made = SimpleNamespace(actor=actor, owed=True, up=up, told=told, stand_in=stand_in, budget=budget)
     actor.post(start_send(0, Clock(), lambda: made.owed))
@@ -156,7 +163,7 @@
     stand_in.die()
 
 
-async def heard(actor: EngineActor) -> None:
+async def heard(actor: EndpointActor) -> None:
     while len(actor.mailbox):
         await asyncio.sleep(0)
 
@@ -171,7 +178,7 @@
 async def test_a_send_meant_for_an_engine_before_its_restart_does_not_reach_the_cold_one(
     waiting: Any,
 ) -> None:
-    waiting.actor.post(ListedAs(ready=True, restarted=True))
+    waiting.actor.post(ListingChanged(ready=True, restarted=True))
     await heard(waiting.actor)
     waiting.up.set()
     ended = await waiting.told.until(lambda fact: True)
@@ -181,15 +188,15 @@
 
 
 async def test_what_was_cancelled_before_its_first_byte_surely_never_ran(waiting: Any) -> None:
-    waiting.actor.post(CancelSend(1, 0))
+    waiting.actor.post(AbortAttempt(1, 0))
     ended = await waiting.told.until(lambda fact: True)
-    assert ended.outcome in api.PROVES_NOT_RUN and not waiting.stand_in.calls.items
+    assert ended.outcome in api.PROVES_NOT_EXECUTED and not waiting.stand_in.calls.items
 
 
 async def test_what_ran_out_of_time_before_its_first_byte_surely_never_ran(waiting: Any) -> None:
     waiting.actor.post(start_send(1, Clock(), left=20 * MS))
     ended = await waiting.told.until(lambda fact: fact.number == 1)
-    assert ended.outcome in api.PROVES_NOT_RUN and not waiting.stand_in.calls.items
+    assert ended.outcome in api.PROVES_NOT_EXECUTED and not waiting.stand_in.calls.items
 
 
 @pytest.fixture
@@ -199,7 +206,7 @@
     await stand_in.start()
     stand_in.acts, budget = "is silent", SocketBudget(8)
     endpoint = ("127.0.0.1", stand_in.port)
-    actor = EngineActor(b"s-1", endpoint, budget, 1 * MS, 30 * S, clock, told.add, supervisor, copies=False)
+    actor = EndpointActor(b"s-1", endpoint, budget, 1 * MS, 30 * S, clock, told.add, supervisor, copies=False)
     actor.start()
     actor.post(start_send(0, clock))
     await stand_in.calls.until(lambda call: call.method == "POST")
@@ -228,12 +235,12 @@
 
 
 async def test_where_no_two_sends_may_be_out_a_restart_is_the_end_of_what_ran(single: Any) -> None:
-    single.actor.post(ListedAs(ready=True, restarted=True))
+    single.actor.post(ListingChanged(ready=True, restarted=True))
     assert (await single.told.until(lambda fact: True)).outcome is api.Outcome.RESET
 
 
 async def test_where_no_two_sends_may_be_out_a_cancel_that_does_not_arrive_is_no_end(single: Any) -> None:
-    single.actor.post(CancelSend(1, 0))
+    single.actor.post(AbortAttempt(1, 0))
     await heard(single.actor)
     assert not single.told.items
     await single.stand_in.start(single.stand_in.port)
@@ -248,7 +255,9 @@
     told["limits"] = told["limits"] | {"second_copies": allowed}  # type: ignore[operator]
     decider = Decider(read_settings(7, told), SocketBudget(8), 1 << 20, Clock(), supervisor)
     decider.start()
-    decider.post(notices.Notice(1, True, (notices.Listed(engine(1), ("127.0.0.1", 9)),), 0))
+    decider.post(
+        discovery.EndpointListUpdate(1, True, (discovery.ListedEndpoint(engine(1), ("127.0.0.1", 9)),), 0)
+    )
     await until(lambda: decider.listed)
     actor = decider._endpoints.actor(engine(1).id)
     assert actor is not None and actor._copies == allowed
@@ -256,9 +265,9 @@
 
 
 def test_a_repeat_that_connects_late_still_comes_before_the_engines_forget() -> None:
-    allowed = api.Allowed(4, True, True, False, False, True, 500 * MS, False, connect_timeout=250 * MS)
+    allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False, connect_timeout=250 * MS)
     for left, again in ((200 * MS, False), (400 * MS, True)):  # until the engines forget: 5 s after the first
-        host = Host(allowed=allowed)
+        host = Host(capabilities=allowed)
         host.engines(engine(1), engine(2))
         command = host.take(profile=3)
         host.end(command, api.Outcome.RESET, after=5 * S - left)
@@ -300,8 +309,8 @@
     async def serve(self, client: ClientConnection) -> asyncio.Task[None]:
         return self.supervisor.start("client", client.serve())
 
-    async def taken(self, count: int) -> TakenCommand:
-        return await self.reports.until(lambda report: isinstance(report, TakenCommand), count)
+    async def taken(self, count: int) -> ReceivedRequest:
+        return await self.reports.until(lambda report: isinstance(report, ReceivedRequest), count)
 
 
 @pytest.fixture
@@ -342,7 +351,7 @@
     await desk.serve(client)
     stand_in.give_up(stand_in.ask())
     command = await desk.taken(1)
-    await desk.reports.until(lambda report: isinstance(report, ClientLeft))
+    await desk.reports.until(lambda report: isinstance(report, RequestAbandoned))
     assert command.over and not command.owed()
 
 
@@ -354,8 +363,8 @@
     stand_in.ask()
     first, second = await desk.taken(1), await desk.taken(2)
     assert first.seqid == second.seqid == 1
-    client.post(Reply(front.encode_answer("process", 1, b"first\t\t\n", True), first))
-    client.post(Reply(front.encode_answer("process", 1, b"second\t\t\n", True), second))
+    client.post(ClientReply(front.encode_answer("process", 1, b"first\t\t\n", True), first))
+    client.post(ClientReply(front.encode_answer("process", 1, b"second\t\t\n", True), second))
     await until(lambda: not client.open and not client._writing)
     assert client.half_close()
     assert b"second" in (came := read_all(theirs)) and b"first" not in came
@@ -366,7 +375,7 @@
     serving = await desk.serve(client)
     stand_in.ask()
     command = await desk.taken(1)
-    client.post(Reply(front.encode_answer("process", 1, b"1\t2\t3\n", True), command))
+    client.post(ClientReply(front.encode_answer("process", 1, b"1\t2\t3\n", True), command))
     await until(lambda: not client.open and not client._writing)
     assert client.half_close()
     stand_in.ask()  # before the client has seen the close, or read its answer
@@ -496,40 +505,46 @@
 
 @given(
     st.lists(
-        st.tuples(st.booleans(), st.dictionaries(st.integers(0, 3), st.sampled_from(api.State), max_size=4)),
+        st.tuples(
+            st.booleans(), st.dictionaries(st.integers(0, 3), st.sampled_from(api.EndpointStatus), max_size=4)
+        ),
         min_size=1,
         max_size=6,
     )
 )
 def test_events_told_as_one_leave_the_list_that_they_leave_one_by_one(
-    told: list[tuple[bool, dict[int, api.State]]],
+    told: list[tuple[bool, dict[int, api.EndpointStatus]]],
 ) -> None:
-    def applied(events: list[notices.Notice], listed: dict[bytes, api.State]) -> dict[bytes, api.State]:
+    def applied(
+        events: list[discovery.EndpointListUpdate], listed: dict[bytes, api.EndpointStatus]
+    ) -> dict[bytes, api.EndpointStatus]:
         for event in events:
-            now = {each.engine.id: each.engine.state for each in event.listed}
+            now = {each.engine.id: each.engine.status for each in event.listed}
             listed = now if event.whole else listed | now
         return listed
 
     events = [
-        notices.Notice(
+        discovery.EndpointListUpdate(
             rev,
             whole,
-            tuple(notices.Listed(engine(name, state=state), None) for name, state in states.items()),
+            tuple(
+                discovery.ListedEndpoint(engine(name, status=state), None) for name, state in states.items()
+            ),
             0,
         )
         for rev, (whole, states) in enumerate(told, 1)
     ]
-    before = {bytes([name] * 6): api.State.READY for name in range(4)}
-    assert applied([notices.folded(events)], before) == applied(events, before)
+    before = {bytes([name] * 6): api.EndpointStatus.READY for name in range(4)}
+    assert applied([discovery.folded(events)], before) == applied(events, before)
 
 
 async def test_events_that_came_together_are_told_as_one() -> None:
     told, supervisor = Line(), Supervisor()
     engines = EngineList(read_settings(7, settings()), Clock(), told.add, supervisor)
-    one, other = (notices.Listed(engine(name), ("127.0.0.1", name)) for name in (1, 2))
+    one, other = (discovery.ListedEndpoint(engine(name), ("127.0.0.1", name)) for name in (1, 2))
     events = tuple(
-        notices.Notice(rev, whole, listed, 0)
+        discovery.EndpointListUpdate(rev, whole, listed, 0)
         for rev, whole, listed in ((1, True, (one, other)), (2, True, (other,)), (3, False, (one,)))
     )
-    await engines.receive(notices.Notices(3, events))
+    await engines.receive(discovery.Notices(3, events))
     assert [(each.whole, set(each.listed)) for each in told.items] == [(True, {one, other})]
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -17,7 +17,7 @@
 from conftest import World
 from test_rare_moments import configuration
 
-from lotusstream.net.connection import CannotConnect, Connection, NoDescriptor, SocketBudget
+from lotusstream.net.connection import ConnectError, Connection, NoDescriptorError, SocketBudget
 from lotusstream.net.gateway import GatewayServer
 from lotusstream.protocol import front
 
@@ -83,9 +83,9 @@
     }
     budget = SocketBudget(8)
     monkeypatch.setattr(*places[call])
-    with pytest.raises(CannotConnect) as caught:
+    with pytest.raises(ConnectError) as caught:
         await Connection.open(("127.0.0.1", 9), 250_000, budget, 1 << 10, ends_things=False)
-    assert not isinstance(caught.value, NoDescriptor) and budget.used == 0
+    assert not isinstance(caught.value, NoDescriptorError) and budget.used == 0
 
 
 async def test_a_hangup_in_the_first_moments_of_a_start_does_not_end_it(world: World) -> None:
--- a/tests/net/test_time_waited.py
+++ b/tests/net/test_time_waited.py
@@ -10,8 +10,8 @@
 from conftest import LIMIT
 from test_rare_moments import configuration, until
 
-from lotusstream.lab.parties import StandInClient
-from lotusstream.net.client import TakenCommand
+from lotusstream.lab.stand_ins import StandInClient
+from lotusstream.net.client import ReceivedRequest
 from lotusstream.net.gateway import GatewayServer
 
 BUSY = 0.2  # seconds for which the loop turns no more
@@ -39,11 +39,11 @@
     monkeypatch: pytest.MonkeyPatch, resting: bool
 ) -> None:
     server = GatewayServer(configuration())
-    taken: list[tuple[TakenCommand, int]] = []
+    taken: list[tuple[ReceivedRequest, int]] = []
     post = server._decider.post
 
     def note(message: object) -> None:
-        if isinstance(message, TakenCommand):
+        if isinstance(message, ReceivedRequest):
             taken.append((message, server._clock.now()))
         post(message)  # type: ignore[arg-type]
 
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -15,9 +15,9 @@
 from lotusstream.levels.condition import Compare, Condition, alternatives, overlap, truth
 from lotusstream.levels.signals import Key, Value
 from lotusstream.operator import units
-from lotusstream.operator.cells import Surroundings
+from lotusstream.operator.cells import DeploymentContext
 from lotusstream.operator.file import OperatorFile, fixed_differences, load_operator_file, read_operator_file
-from lotusstream.operator.problems import UnusableOperatorFile
+from lotusstream.operator.problems import OperatorFileError
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "operator.conf"
 S = 1_000_000
@@ -34,13 +34,13 @@
 
 
 def problems(text: str, **profiles: api.Profile) -> list[str]:
-    with pytest.raises(UnusableOperatorFile) as caught:
-        read_operator_file(text, "f", Surroundings(profiles) if profiles else None)
+    with pytest.raises(OperatorFileError) as caught:
+        read_operator_file(text, "f", DeploymentContext(profiles) if profiles else None)
     return [str(problem) for problem in caught.value.problems]
 
 
 def profile(benefit: float, target: int) -> api.Profile:
-    return api.Profile(target, 0.0, 6 * S, benefit, 0.0, api.Effect.REPLAYABLE, api.Scope.ALL, 0, False, None,
+    return api.Profile(target, 0.0, 6 * S, benefit, 0.0, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0, False, None,
                        None, False, False, 1)  # fmt: skip
 
 
@@ -156,7 +156,7 @@
     dear = ladder(level(more="admit report 50%"))
     assert "reduces report before lookup" in problems(dear, **known)[0]
     meant = ladder(level(more="admit report 50%\n despite-benefit"))
-    assert read_operator_file(meant, "f", Surroundings(known)).ladder is not None
+    assert read_operator_file(meant, "f", DeploymentContext(known)).ladder is not None
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
     path = tmp_path / "f"
     path.write_bytes(raw)
     for each in (path, tmp_path):
-        with pytest.raises(UnusableOperatorFile) as caught:
+        with pytest.raises(OperatorFileError) as caught:
             load_operator_file(str(each))
         assert each is tmp_path or says in str(caught.value)
 
@@ -176,12 +176,12 @@
     kinds, zones = ("c8", "c12"), ("east", "west")
     report = replace(profile(8.0, S), kinds=frozenset({1}))
     listed = (
-        api.Engine(b"s-1", api.State.READY, 0, 0, 1, 0), api.Engine(b"s-2", api.State.READY, 1, 0, 0, 0),
+        api.EndpointEntry(b"s-1", api.EndpointStatus.READY, 0, 0, 1, 0), api.EndpointEntry(b"s-2", api.EndpointStatus.READY, 1, 0, 0, 0),
     )  # fmt: skip
-    around = Surroundings({"report": report}, zones, kinds, listed)
+    around = DeploymentContext({"report": report}, zones, kinds, listed)
 
     def told(*each: str) -> list[str]:
-        with pytest.raises(UnusableOperatorFile) as caught:
+        with pytest.raises(OperatorFileError) as caught:
             read_operator_file(cells(*each), "f", around)
         return [str(problem) for problem in caught.value.problems]
 
@@ -220,7 +220,7 @@
 def test_whatever_a_file_holds_it_is_read_or_told_what_is_wrong(text: str) -> None:
     try:
         read_operator_file(text, "f")
-    except UnusableOperatorFile as error:
+    except OperatorFileError as error:
         assert error.problems and all(problem.line >= 1 and problem.column >= 1 for problem in error.problems)
 
 
@@ -297,18 +297,18 @@
     ],
 )
 def test_a_fleet_that_could_not_work_is_told_with_its_line(line, told):
-    with pytest.raises(UnusableOperatorFile) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         read_operator_file(FLEET.format(line), "fleet.conf")
     assert told in [f"{each.what}; {each.hint}" for each in caught.value.problems]
 
 
 def test_a_keeper_without_a_store_is_told():
-    around = Surroundings({}, gateway="k2")
+    around = DeploymentContext({}, gateway="k2")
     with pytest.raises(
-        UnusableOperatorFile, match=r"'k2' is a keeper and has no store; name a folder: store PATH"
+        OperatorFileError, match=r"'k2' is a keeper and has no store; name a folder: store PATH"
     ):
         read_operator_file(FLEET.format(""), "fleet.conf", around)
-    assert read_operator_file(FLEET.format(""), "fleet.conf", Surroundings({}, gateway="g9")).fleet
+    assert read_operator_file(FLEET.format(""), "fleet.conf", DeploymentContext({}, gateway="g9")).fleet
 
 
 def test_the_shipped_file_of_copies_says_what_is_promised():
--- a/tests/policy/test_operated_decisions.py
+++ b/tests/policy/test_operated_decisions.py
@@ -22,15 +22,15 @@
 SECONDS = 8
 CELLS, POOLS = 3, 2
 ACTION_LABELS = {
-    api.Believed: "beliefs",
-    api.Send: "send",
-    api.Resources: "resources",
-    api.Shed: "shed",
-    api.Fail: "fail",
-    api.Cancel: "cancel",
-    api.Probe: "probe",
-    api.Wake: "wake",
-    api.Subscribe: "subscribe",
+    api.GatewaySnapshot: "beliefs",
+    api.StartAttempt: "send",
+    api.SetResources: "resources",
+    api.RejectRequest: "shed",
+    api.FailRequest: "fail",
+    api.CancelAttempt: "cancel",
+    api.StartHealthCheck: "probe",
+    api.SetTimer: "wake",
+    api.SetListSubscription: "subscribe",
 }
 
 
@@ -55,7 +55,7 @@
         self._digest = hashlib.sha256()
 
     def play(self, seconds: int) -> None:
-        self._push(S, api.EngineNews(api.ListKind.FULL, tuple(self._entries)))
+        self._push(S, api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, tuple(self._entries)))
         for cell in range(CELLS):
             self._push(S + 1, self._confinement(cell))
         draws = (
@@ -65,12 +65,12 @@
             self._dropping,
             self._earlier_run,
             self._peer_report,
-            api.Asked,
+            api.SnapshotRequested,
         )
         for _ in range(seconds * 25):
             at = S + self._draw.randrange(seconds * S)
             self._push(at, self._draw.choice(draws)())
-        self._push((seconds - 1) * S, api.Stopping((seconds + 1) * S))
+        self._push((seconds - 1) * S, api.ShutdownStarted((seconds + 1) * S))
         super().play(seconds)
 
     @property
@@ -78,13 +78,13 @@
         return self._digest.hexdigest()
 
     def _push(self, at: int, event: api.Event) -> None:
-        if isinstance(event, api.Arrived):
+        if isinstance(event, api.RequestReceived):
             cell = self._draw.choice((None, *range(CELLS)))
             core_is_slow = at % (4 * S) < S
             waited = (
                 self._draw.choice((50 * MS, 60 * MS)) if core_is_slow else self._draw.choice((0, 10 * MS))
             )
-            event = replace(event, cell=cell, waited=waited)
+            event = replace(event, cell=cell, queue_delay=waited)
         super()._push(at, event)
 
     def _step(self, now: int, event: api.Event) -> None:
@@ -96,43 +96,47 @@
             told = (now, ACTION_LABELS[type(action)], plain(action))
             self._digest.update(repr(told).encode())
 
-    def _some_engines(self) -> frozenset[api.EngineId]:
+    def _some_engines(self) -> frozenset[api.EndpointId]:
         count = self._draw.randrange(1, 1 + len(self._entries))
         return frozenset(entry.id for entry in self._draw.sample(self._entries, count))
 
-    def _confinement(self, cell: int) -> api.Confined:
-        return api.Confined(cell, self._draw.randrange(POOLS), self._some_engines())
+    def _confinement(self, cell: int) -> api.CellEndpointsChanged:
+        return api.CellEndpointsChanged(cell, self._draw.randrange(POOLS), self._some_engines())
 
-    def _confinement_of_any(self) -> api.Confined:
+    def _confinement_of_any(self) -> api.CellEndpointsChanged:
         confinement = self._confinement(self._draw.randrange(CELLS))
         lifted = self._draw.random() < 0.2
-        return replace(confinement, engines=frozenset()) if lifted else confinement
+        return replace(confinement, endpoint_ids=frozenset()) if lifted else confinement
 
-    def _level(self) -> api.Reduced:
+    def _level(self) -> api.DegradationChanged:
         if self._draw.random() < 0.4:
-            return api.Reduced((1.0,) * len(PROFILES), api.Further.ALL, None, (None,) * len(PROFILES))
-        return api.Reduced(
-            admitted=tuple(self._draw.choice((0.0, 0.5, 1.0, 1.0)) for _ in PROFILES),
-            further=self._draw.choice([*api.Further]),
-            longest_advice=self._draw.choice((None, 200 * MS)),
+            return api.DegradationChanged(
+                (1.0,) * len(PROFILES), api.RetriesAllowed.ALL, None, (None,) * len(PROFILES)
+            )
+        return api.DegradationChanged(
+            admitted_ratios=tuple(self._draw.choice((0.0, 0.5, 1.0, 1.0)) for _ in PROFILES),
+            retries_allowed=self._draw.choice([*api.RetriesAllowed]),
+            max_retry_after=self._draw.choice((None, 200 * MS)),
             priorities=tuple(self._draw.choice((None, 0, 2)) for _ in PROFILES),
         )
 
     def _command(self) -> int:
         return self._draw.randrange(SECONDS * 30)
 
-    def _rehoming(self) -> api.Rehomed:
-        return api.Rehomed(self._command(), self._draw.randrange(CELLS))
+    def _rehoming(self) -> api.RequestMigrated:
+        return api.RequestMigrated(self._command(), self._draw.randrange(CELLS))
 
-    def _dropping(self) -> api.Dropped:
-        return api.Dropped(self._command())
+    def _dropping(self) -> api.RequestWithdrawn:
+        return api.RequestWithdrawn(self._command())
 
-    def _earlier_run(self) -> api.RanElsewhere:
+    def _earlier_run(self) -> api.ExecutedElsewhere:
         at = S + self._draw.randrange(SECONDS * S)
-        return api.RanElsewhere(self._command(), self._draw.choice((-1, 0)), self._draw.choice((-1, 0)), at)
+        return api.ExecutedElsewhere(
+            self._command(), self._draw.choice((-1, 0)), self._draw.choice((-1, 0)), at
+        )
 
-    def _peer_report(self) -> api.Hearsay:
-        return api.Hearsay(self._draw.choice(self._entries).id, self._draw.random() < 0.5)
+    def _peer_report(self) -> api.PeerHealthReported:
+        return api.PeerHealthReported(self._draw.choice(self._entries).id, self._draw.random() < 0.5)
 
 
 # by seed, endpoints and gateways
@@ -151,13 +155,13 @@
     day = OperatedDay(seed, servers, gateways)
     day.play(SECONDS)
     assert set(day.events) >= {
-        api.Stopping,
-        api.Reduced,
-        api.Confined,
-        api.Rehomed,
-        api.Dropped,
-        api.RanElsewhere,
-        api.Hearsay,
-        api.Asked,
+        api.ShutdownStarted,
+        api.DegradationChanged,
+        api.CellEndpointsChanged,
+        api.RequestMigrated,
+        api.RequestWithdrawn,
+        api.ExecutedElsewhere,
+        api.PeerHealthReported,
+        api.SnapshotRequested,
     }
     assert day.sha256 == DIGESTS[seed, servers, gateways]
--- a/tests/policy/test_whatever_comes.py
+++ b/tests/policy/test_whatever_comes.py
@@ -27,18 +27,18 @@
 
     def __init__(self, seed: int, servers: int, gateways: int) -> None:
         self._draw = random.Random(seed)
-        self._host = Host(seed=seed, gateways=gateways)
+        self._host = Host(seed=seed, gateway_count=gateways)
         self._queue: list[tuple[int, int, api.Event]] = []
         self._order = itertools.count()
         self._entries = [engine(1, id=b"s-%06d" % number, kind=number % 2) for number in range(servers)]
         self.attempts: Counter[int] = Counter()
         self.finals: Counter[int] = Counter()
         self.answered: set[int] = set()
-        self.withdrawn: dict[api.EngineId, int] = {}
-        self.late: list[api.Send] = []
+        self.withdrawn: dict[api.EndpointId, int] = {}
+        self.late: list[api.StartAttempt] = []
 
     def play(self, seconds: int) -> None:
-        self._push(S, api.EngineNews(api.ListKind.FULL, tuple(self._entries)))
+        self._push(S, api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, tuple(self._entries)))
         for number in range(seconds * 30):
             profile = self._draw.randrange(len(PROFILES))
             hint, group, key = (
@@ -46,7 +46,9 @@
                 self._draw.randrange(30),
                 self._draw.randrange(9),
             )
-            arrived = api.Arrived(number, profile, hint, None, self._draw.choice((1, 3)) * S, group, key)
+            arrived = api.RequestReceived(
+                number, profile, hint, None, self._draw.choice((1, 3)) * S, group, key
+            )
             self._push(S + number * S // 30, arrived)
         for second in range(1, seconds):
             self._push(S + second * S, self._news(S + second * S))
@@ -54,49 +56,53 @@
             now, _, event = heapq.heappop(self._queue)
             self._step(now, event)
 
-    def _news(self, now: int) -> api.EngineNews:
+    def _news(self, now: int) -> api.EndpointListReceived:
         """Some entries, the same one twice now and then; a whole list now and then."""
         changed = []
         for _ in range(4):
             entry = self._draw.choice(self._entries)
-            state, started = self._draw.choice([*api.State]), self._draw.choice((0, now))
-            changed.append(replace(entry, state=state, started=started))
+            state, started = self._draw.choice([*api.EndpointStatus]), self._draw.choice((0, now))
+            changed.append(replace(entry, status=state, started_at=started))
         whole = self._draw.random() < 0.2
         entries = [*self._entries, *changed] if whole else changed
-        return api.EngineNews(api.ListKind.FULL if whole else api.ListKind.CHANGES, tuple(entries))
+        return api.EndpointListReceived(
+            api.EndpointListKind.SNAPSHOT if whole else api.EndpointListKind.DELTA, tuple(entries)
+        )
 
     def _step(self, now: int, event: api.Event) -> None:
         self._host.now = now
-        if isinstance(event, api.EngineNews):
+        if isinstance(event, api.EndpointListReceived):
             self._note_states(event)
-        if isinstance(event, api.Ended) and event.outcome is api.Outcome.ANSWERED:
-            self.answered.add(event.command)
+        if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.ANSWERED:
+            self.answered.add(event.request_id)
         seen = len(self._host.log)
         self._host.tell(event)
         for action in self._host.log[seen:]:
             self._carry_out(now, action)
 
-    def _note_states(self, news: api.EngineNews) -> None:
-        latest = {entry.id: entry for entry in news.engines}
+    def _note_states(self, news: api.EndpointListReceived) -> None:
+        latest = {entry.id: entry for entry in news.endpoints}
         for engine_id, entry in latest.items():
-            if entry.state is api.State.READY:
+            if entry.status is api.EndpointStatus.READY:
                 self.withdrawn.pop(engine_id, None)
             else:
                 self.withdrawn[engine_id] = self._host.now
 
     def _carry_out(self, now: int, action: api.Action) -> None:
         match action:
-            case api.Wake(at, token):
-                self._push(max(at, now + 1), api.Woken(token))
-            case api.Send(command, server, _):
+            case api.SetTimer(at, token):
+                self._push(max(at, now + 1), api.TimerFired(token))
+            case api.StartAttempt(command, server, _):
                 self.late += [action] if server in self.withdrawn else []
                 number = self.attempts[command]
                 self.attempts[command] += 1
                 outcome, after = self._draw.choice(OUTCOMES), self._draw.randrange(20, 2000) * MS
                 good = outcome is api.Outcome.ANSWERED
-                ended = api.Ended(command, number, server, outcome, after, good, None, None, None, good)
+                ended = api.AttemptEnded(
+                    command, number, server, outcome, after, good, None, None, None, good
+                )
                 self._push(now + after, ended)
-            case api.Shed(command) | api.Fail(command):
+            case api.RejectRequest(command) | api.FailRequest(command):
                 self.finals[command] += 1
 
     def _push(self, at: int, event: api.Event) -> None:
@@ -116,7 +122,7 @@
 def test_an_entry_that_is_listed_twice_counts_as_its_last() -> None:
     catalog = Catalog(7, 1.0, lambda _kind: 8.0)
     domain = catalog.domain((None, None, None), lambda _entry: True)
-    first, gone = engine(1), engine(1, state=api.State.GONE)
+    first, gone = engine(1), engine(1, status=api.EndpointStatus.REMOVED)
     catalog.apply([first, gone, first], whole=True)
     assert catalog.ready == len(domain) == 1
     catalog.apply([first, gone], whole=False)
@@ -130,15 +136,17 @@
     entries = [engine(1, id=b"s-%04d" % number, kind=number % 2, zone=number % 3) for number in range(400)]
     bound = replace(LOOKUP, kinds=frozenset({1}))
     followed = Catalog(7, 0.1, lambda kind: 4.0 + kind)
-    domain = followed.domain((None, bound.kinds, None), bound.open_to)
+    domain = followed.domain((None, bound.kinds, None), bound.admits)
     followed.apply(entries, whole=True)
     for _ in range(200):
         at = draw.randrange(len(entries))
-        state = draw.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
-        entries[at] = replace(entries[at], state=state, zone=draw.randrange(3))
+        state = draw.choice(
+            [api.EndpointStatus.READY, api.EndpointStatus.DRAINING, api.EndpointStatus.REMOVED]
+        )
+        entries[at] = replace(entries[at], status=state, zone=draw.randrange(3))
         followed.apply([entries[at]], whole=False)
     anew = Catalog(7, 0.1, lambda kind: 4.0 + kind)
     anew.apply(entries, whole=True)
-    fresh = anew.domain((None, bound.kinds, None), bound.open_to)
+    fresh = anew.domain((None, bound.kinds, None), bound.admits)
     assert domain.first(400) == fresh.first(400) and domain.preferred == fresh.preferred
     assert followed.cores_by_class == anew.cores_by_class and followed.ready_cores == anew.ready_cores
--- a/tests/record/test_log.py
+++ b/tests/record/test_log.py
@@ -11,11 +11,20 @@
 
 import pytest
 
-from lotusstream.record.log import CorruptLog, Disk, DiskTrouble, Log, LogInUse, NewerLog, framed, header
+from lotusstream.wal.log import (
+    CorruptLogError,
+    Disk,
+    DiskError,
+    Log,
+    LogInUseError,
+    NewerLogError,
+    framed,
+    header,
+)
 
 DRIVER = """
 import os, signal, sys
-from lotusstream.record.log import Disk, Log
+from lotusstream.wal.log import Disk, Log
 path, calls, torn = sys.argv[1], int(sys.argv[2]), sys.argv[3] == "torn"
 
 class Ending(Disk):
@@ -96,7 +105,7 @@
         path = tmp_path / "cut"
         path.write_bytes(whole[:length])
         if length < ends[0]:
-            with pytest.raises(CorruptLog):
+            with pytest.raises(CorruptLogError):
                 Log(str(path)).open()
             continue
         log = Log(str(path)).open()
@@ -113,7 +122,7 @@
         before = path.read_bytes()
         try:
             log = Log(str(path)).open()
-        except (CorruptLog, NewerLog):
+        except (CorruptLogError, NewerLogError):
             assert path.read_bytes() == before
             continue
         assert log.payloads == [b"first", b"second"]  # only the last frame can be taken for a torn tail
@@ -124,7 +133,7 @@
     path = tmp_path / "log"
     path.write_bytes(header(version=9) + framed(b"from the future"))
     with pytest.raises(
-        NewerLog, match="format 9, and 1 is the newest known here; start the version that wrote it"
+        NewerLogError, match="format 9, and 1 is the newest known here; start the version that wrote it"
     ):
         Log(str(path)).open()
     assert path.read_bytes() == header(version=9) + framed(b"from the future")
@@ -132,7 +141,7 @@
 
 def test_one_process_at_a_time_holds_a_log(tmp_path: Path) -> None:
     log = Log(str(tmp_path / "log")).open()
-    with pytest.raises(LogInUse):
+    with pytest.raises(LogInUseError):
         Log(str(tmp_path / "log")).open()
     log.close()
     Log(str(tmp_path / "log")).open().close()
@@ -159,7 +168,7 @@
     log = Log(path, disk).open()
     log.append(b"first")
     for refused in (lambda: log.append(b"second"), lambda: log.rewrite([b"other"])):
-        with pytest.raises(DiskTrouble, match="make room on the disk"):
+        with pytest.raises(DiskError, match="make room on the disk"):
             refused()
     disk.room = 1000
     log.append(b"third")
@@ -168,7 +177,7 @@
 
 
 def test_a_folder_that_is_missing_is_told_with_what_would_do(tmp_path: Path) -> None:
-    with pytest.raises(DiskTrouble, match="make the folder first"):
+    with pytest.raises(DiskError, match="make the folder first"):
         Log(str(tmp_path / "none" / "log")).open()
 
 
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -9,7 +9,7 @@
 from lotusstream.lab.rollout import BAD, PLAN, ChangeScene, play
 from lotusstream.rollout import rollout as ro
 from lotusstream.rollout.judge import Bounds, Judge, Reading, Verdict
-from lotusstream.rollout.plan import UnusablePlan, Version, check, order
+from lotusstream.rollout.plan import RolloutPlanError, Version, check, order
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
@@ -144,7 +144,7 @@
     ],
 )
 def test_a_plan_that_could_not_work_is_told(changes, told):
-    with pytest.raises(UnusablePlan, match=told):
+    with pytest.raises(RolloutPlanError, match=told):
         check(structs.replace(PLAN, **changes), 12)
 
 
--- a/tests/scale/test_long_lists.py
+++ b/tests/scale/test_long_lists.py
@@ -10,28 +10,28 @@
 
 from lotusstream import interface as api
 from lotusstream.net.connection import Connection, SocketBudget
-from lotusstream.net.endpoints import Endpoints
-from lotusstream.protocol.notices import Listed, Notice
+from lotusstream.net.endpoint_registry import EndpointRegistry
+from lotusstream.protocol.discovery import EndpointListUpdate, ListedEndpoint
 
 
-def listed(name: int, **changes: object) -> Listed:
-    return Listed(engine(name, **changes), ("127.0.0.1", name))
+def listed(name: int, **changes: object) -> ListedEndpoint:
+    return ListedEndpoint(engine(name, **changes), ("127.0.0.1", name))
 
 
-def whole(*entries: Listed) -> Notice:
-    return Notice(1, True, entries, 0)
+def whole(*entries: ListedEndpoint) -> EndpointListUpdate:
+    return EndpointListUpdate(1, True, entries, 0)
 
 
 def test_a_whole_list_costs_what_differs_and_withdraws_first() -> None:
-    known = Endpoints(lambda _id, _address: pytest.fail("nothing was sent"), 1)
+    known = EndpointRegistry(lambda _id, _address: pytest.fail("nothing was sent"), 1)
     known.apply(known.differing(whole(listed(1), listed(2), listed(3))))
     assert known.differing(whole(listed(3), listed(1), listed(2))) == []
-    draining = listed(2, state=api.State.DRAINING)
+    draining = listed(2, status=api.EndpointStatus.DRAINING)
     told = known.differing(whole(listed(4), draining, listed(1)))
-    assert [(each.engine.id[0], each.engine.state) for each in told] == [
-        (2, api.State.DRAINING),
-        (3, api.State.GONE),
-        (4, api.State.READY),
+    assert [(each.engine.id[0], each.engine.status) for each in told] == [
+        (2, api.EndpointStatus.DRAINING),
+        (3, api.EndpointStatus.REMOVED),
+        (4, api.EndpointStatus.READY),
     ]
 
 
--- a/tests/simulation/wire_frames.py
+++ b/tests/simulation/wire_frames.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from lotusstream.drill import wire
-from lotusstream.drill.__main__ import Host as AdapterHost
+from lotusstream.simulation import wire
+from lotusstream.simulation.__main__ import Host as AdapterHost
 
 READY, DRAINING, GONE = 2, 0, 1
 CHANGES, FULL, CACHED, FAILED = 0, 1, 2, 3
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,16 +22,23 @@
 from lotusstream.net.buffer import Buffer, BufferFull
 from lotusstream.net.client import (
     ClientConnection,
-    ClientLeft,
+    ClientReply,
     ClientShare,
-    Reply,
-    TakenCommand,
+    ReceivedRequest,
+    RequestAbandoned,
     Unread,
 )
 from lotusstream.net.clock import Clock
-from lotusstream.net.connection import Connection, NoDescriptor, Pool, SocketBudget
+from lotusstream.net.connection import Connection, ConnectionPool, NoDescriptorError, SocketBudget
 from lotusstream.net.decider import Decider
-from lotusstream.net.engine import CancelSend, EngineActor, ListedAs, SendEnded, SetPriority, StartSend
+from lotusstream.net.endpoint import (
+    AbortAttempt,
+    AttemptFinished,
+    ChangePriority,
+    EndpointActor,
+    ListingChanged,
+    RunAttempt,
+)
 from lotusstream.policy import Gateway
 from lotusstream.protocol import front
 from lotusstream.protocol.http import Answer, AnswerReader
@@ -146,10 +153,10 @@
     budget = SocketBudget(8)
     for _ in range(7):
         budget.take(False)
-    with pytest.raises(NoDescriptor):
+    with pytest.raises(NoDescriptorError):
         budget.take(False)
     budget.take(True)
-    with pytest.raises(NoDescriptor):
+    with pytest.raises(NoDescriptorError):
         await Connection.open(("127.0.0.1", 1), 1000, budget, 0, ends_things=True)
 
 
@@ -183,10 +190,10 @@
     """Takes what is posted to a client connection."""
 
     def __init__(self) -> None:
-        self.replies: list[Reply] = []
+        self.replies: list[ClientReply] = []
         self.came = asyncio.Event()
 
-    def post(self, reply: Reply) -> None:
+    def post(self, reply: ClientReply) -> None:
         self.replies.append(reply)
         self.came.set()
 
@@ -202,10 +209,10 @@
     await supervisor.stop()
 
 
-def taken(desk: Any, seqid: int, timeout: int = 6_000_000) -> TakenCommand:
-    fields = front.CommandFields(0, f"{seqid:016x}", timeout, None, None, None)
+def taken(desk: Any, seqid: int, timeout: int = 6_000_000) -> ReceivedRequest:
+    fields = front.RequestFields(0, f"{seqid:016x}", timeout, None, None, None)
     now = desk.clock.now()
-    return TakenCommand(desk.client, seqid, fields, 3, b"SELECT", now + timeout, now)
+    return ReceivedRequest(desk.client, seqid, fields, 3, b"SELECT", now + timeout, now)
 
 
 async def test_a_module_that_raises_still_gives_each_command_an_answer(
@@ -216,7 +223,7 @@
     handle = Gateway.handle
 
     def broken(self: Gateway, now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Arrived) and event.group == 13:
+        if isinstance(event, api.RequestReceived) and event.group == 13:
             raise IndexError("out of range")
         return handle(self, now, event)
 
@@ -229,7 +236,10 @@
             desk.client.came.clear()
             await desk.client.came.wait()
     assert [reply.ends for reply in desk.client.replies] == [held, bad]
-    assert desk.supervisor.counters["failed lookup"] == 2 and "Arrived(command=2" in capsys.readouterr().err
+    assert (
+        desk.supervisor.counters["failed lookup"] == 2
+        and "RequestReceived(request_id=2" in capsys.readouterr().err
+    )
     desk.client.came.clear()
     desk.decider.post(taken(desk, 3, 10_000))  # too little time: the new module answers at once
     await asyncio.wait_for(desk.client.came.wait(), LIMIT)
@@ -240,8 +250,8 @@
     desk: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(desk.supervisor.invariants, "hold", lambda what, true: true)  # as a release run does
-    desk.decider.post(SendEnded(9, 0, b"s-1", api.Outcome.ANSWERED, 10, rows=b""))
-    desk.decider.post(ClientLeft(taken(desk, 4)))
+    desk.decider.post(AttemptFinished(9, 0, b"s-1", api.Outcome.ANSWERED, 10, rows=b""))
+    desk.decider.post(RequestAbandoned(taken(desk, 4)))
     desk.decider.post(taken(desk, 5, 10_000))
     await asyncio.wait_for(desk.client.came.wait(), LIMIT)
     assert [reply.ends.seqid for reply in desk.client.replies] == [5]
@@ -254,7 +264,7 @@
     gone: list[int] = []
 
     def forgetful(self: Gateway, now: int, event: api.Event) -> list[api.Action]:
-        gone.extend([event.command] if isinstance(event, api.ClientGone) else [])
+        gone.extend([event.request_id] if isinstance(event, api.ClientDisconnected) else [])
         return []
 
     monkeypatch.setattr(Gateway, "handle", forgetful)
@@ -284,22 +294,22 @@
     stand_in.acts = "holds"
     endpoint = ("127.0.0.1", stand_in.port)
     budget = SocketBudget(8)
-    actor = EngineActor(b"s-1", endpoint, budget, 250_000, 30_000_000, Clock(), told.add, supervisor)
+    actor = EndpointActor(b"s-1", endpoint, budget, 250_000, 30_000_000, Clock(), told.add, supervisor)
     actor.start()
     yield SimpleNamespace(actor=actor, stand_in=stand_in, told=told, budget=budget)
     await supervisor.stop()
     stand_in.die()
 
 
-def start_send(number: int = 0, left: int = 6_000_000) -> StartSend:
+def start_send(number: int = 0, left: int = 6_000_000) -> RunAttempt:
     now = Clock().now()
-    return StartSend(1, number, now, now + left, "0" * 16, "lookup", b"SELECT", None, None)
+    return RunAttempt(1, number, now, now + left, "0" * 16, "lookup", b"SELECT", None, None)
 
 
 async def test_a_new_priority_goes_to_a_running_send_beside_its_wait(engine: Any) -> None:
     engine.actor.post(start_send())
     await engine.stand_in.calls.until(lambda call: call.method == "GET")
-    engine.actor.post(SetPriority(1, 0, 3))
+    engine.actor.post(ChangePriority(1, 0, 3))
     put = await engine.stand_in.calls.until(lambda call: call.method == "PUT")
     assert put.body == b"3" and put.path == "/x/" + "0" * 16
 
@@ -307,17 +317,17 @@
 async def test_a_send_that_waits_for_a_connection_stays_here_once_its_engine_drains(
     engine: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    asked, up, get = asyncio.Event(), asyncio.Event(), Pool.get
+    asked, up, get = asyncio.Event(), asyncio.Event(), ConnectionPool.get
 
-    async def slow(pool: Pool) -> Connection:
+    async def slow(pool: ConnectionPool) -> Connection:
         asked.set()
         await up.wait()
         return await get(pool)
 
-    monkeypatch.setattr(Pool, "get", slow)
+    monkeypatch.setattr(ConnectionPool, "get", slow)
     engine.actor.post(start_send())
     await asyncio.wait_for(asked.wait(), LIMIT)
-    engine.actor.post(ListedAs(ready=False, restarted=False))
+    engine.actor.post(ListingChanged(ready=False, restarted=False))
     while len(engine.actor.mailbox):
         await asyncio.sleep(0)
     up.set()
@@ -343,9 +353,9 @@
 
 async def test_each_send_ends_once_at_its_time_out_and_is_deleted(engine: Any) -> None:
     engine.actor.post(start_send(left=100_000))
-    ended = await engine.told.until(lambda fact: isinstance(fact, SendEnded))
+    ended = await engine.told.until(lambda fact: isinstance(fact, AttemptFinished))
     await engine.stand_in.calls.until(lambda call: call.method == "DELETE")
-    engine.actor.post(CancelSend(1, 0))
+    engine.actor.post(AbortAttempt(1, 0))
     engine.actor.post(start_send(1, left=100_000))
     await engine.told.until(lambda fact: fact.number == 1)
     assert ended.outcome is api.Outcome.TIMED_OUT
@@ -368,13 +378,13 @@
     engine.actor.post(start_send())
     await engine.stand_in.calls.until(lambda call: call.method == "POST")
     engine.actor.close()
-    await engine.told.until(lambda fact: isinstance(fact, SendEnded))
+    await engine.told.until(lambda fact: isinstance(fact, AttemptFinished))
     assert engine.budget.used == 0
 
 
 async def test_a_send_cancelled_before_it_began_ends_too(engine: Any) -> None:
     engine.actor.post(start_send())
-    engine.actor.post(CancelSend(1, 0))
+    engine.actor.post(AbortAttempt(1, 0))
     ended = await engine.told.until(lambda fact: True)
     assert ended.outcome is api.Outcome.MOOT and not engine.stand_in.calls.items  # it surely never ran
 
@@ -382,8 +392,8 @@
 async def test_a_cancelled_send_ends_as_cancelled_once_its_engine_has_been_told(engine: Any) -> None:
     engine.actor.post(start_send())
     await engine.stand_in.calls.until(lambda call: call.method == "POST")
-    engine.actor.post(CancelSend(1, 0))
-    ended = await engine.told.until(lambda fact: isinstance(fact, SendEnded))
+    engine.actor.post(AbortAttempt(1, 0))
+    ended = await engine.told.until(lambda fact: isinstance(fact, AttemptFinished))
     assert ended.outcome is api.Outcome.CANCELLED
     assert [call.method for call in engine.stand_in.calls.items].count("DELETE") == 1
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from lotusstream.drill import wire
-from lotusstream.drill.__main__ import Host as Drill
-from lotusstream.drill.__main__ import serve
 from lotusstream.policy import Gateway
+from lotusstream.simulation import wire
+from lotusstream.simulation.__main__ import Host as Drill
+from lotusstream.simulation.__main__ import serve
 
 ENGINE = bytes.fromhex("0a124a07431f")
 ORDER = bytes.fromhex(
