--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -16,17 +16,17 @@
 from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.clock import Clock
-from lotusstream.net.connection import US
-from lotusstream.net.decider import (
+from lotusstream.net.commitment_gate import (
     AnswerReady,
     AnswerReceived,
     AttemptControl,
     AttemptReady,
-    Decider,
     GateMessage,
     RequestClosed,
-    SubsystemEvent,
 )
+from lotusstream.net.connection import US
+from lotusstream.net.decider import Decider
+from lotusstream.net.decider_messages import SubsystemEvent
 from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
 from lotusstream.operator.fleet import FleetText
 from lotusstream.protocol import peers as wire
--- a/lotusstream/net/decider.py
+++ b/lotusstream/net/decider.py
@@ -13,10 +13,27 @@
 from lotusstream import interface as api
 from lotusstream.deployment import Deployment
 from lotusstream.interface import Outcome
-from lotusstream.net.actor import Actor, Mailbox, Supervisor
+from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.client import ClientReply, ReceivedRequest, RequestAbandoned, RequestOverdue
 from lotusstream.net.clock import Clock
+from lotusstream.net.commitment_gate import (
+    AnswerReady,
+    AnswerReceived,
+    AttemptControl,
+    AttemptReady,
+    CommitmentGate,
+    RequestClosed,
+)
 from lotusstream.net.connection import US, Address, SocketBudget
+from lotusstream.net.decider_mailbox import DeciderMailbox
+from lotusstream.net.decider_messages import (
+    DeciderMessage,
+    OpenRequestView,
+    OperatorView,
+    SubsystemEvent,
+    TimerDue,
+    ViewRequested,
+)
 from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
 from lotusstream.net.endpoint_registry import EndpointRegistry
 from lotusstream.policy import Gateway
@@ -44,161 +61,10 @@
     last_outcome: Outcome | None = None  # of a send
 
 
-class TimerDue:
-    """A timer of the module has come due."""
-
-
-@dataclass(frozen=True, slots=True)
-class SubsystemEvent:
-    """An event of whatever stands beside the module, such as the keeper of levels."""
-
-    event: Any
-
-
-class RoundDue:
-    """A round is due though nothing has come: time alone may change something beside the module."""
-
-
-@dataclass(frozen=True, slots=True)
-class OpenRequestView:
-    """For operators. Times in microseconds; `engines`: where its sends that are out went."""
-
-    command: int
-    call: str
-    profile: str
-    group: int
-    age: int
-    left: int
-    sends: int
-    engines: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class OperatorView:
-    """For operators: what is open, and what the module believes."""
-
-    now: int
-    believed: api.GatewaySnapshot
-    commands: tuple[OpenRequestView, ...]
-    addresses: dict[api.EndpointId, str]
-    kinds: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class ViewRequested:
-    """Asks for a View, at the next round."""
-
-    answer: asyncio.Future[OperatorView]
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptReady:
-    """A send that leaves once that is promised."""
-
-    start: RunAttempt
-    actor: EndpointActor
-    engine: api.EndpointEntry
-    taken: ReceivedRequest
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptControl:
-    """What follows a send on its way."""
-
-    actor: EndpointActor
-    message: AbortAttempt | ChangePriority
-
-
-@dataclass(frozen=True, slots=True)
-class AnswerReceived:
-    """An engine has answered; Ready follows. `given`: the time that the client gave, microseconds."""
-
-    command: int
-    rows: bytes
-    ends_by: int
-    given: int
-
-
-@dataclass(frozen=True, slots=True)
-class RequestClosed:
-    """No answer is owed any more. `ran`: a send that has ended may have run. `out`: sends that have not."""
-
-    command: int
-    ran: bool
-    out: frozenset[int]
-    given: int
-
-
-GateMessage = AttemptReady | AttemptControl | AnswerReceived | RequestClosed
-
-
-@dataclass(frozen=True, slots=True)
-class AnswerReady:
-    """What the client gets; no rows: failed, and why."""
-
-    command: int
-    rows: bytes | None
-    why: str
-
-
-class CommitmentGate(Protocol):
-    """Stands between the decider and engines, for commands that something is promised about."""
-
-    def covers(self, profile: int, mark: str | None) -> bool: ...
-
-    def post(self, message: GateMessage) -> None: ...
-
-
 class DecisionModule(Protocol):
     def handle(self, now: int, event: Any) -> list[api.Action]: ...
 
 
-DeciderMessage = (
-    ReceivedRequest
-    | RequestAbandoned
-    | RequestOverdue
-    | AttemptFinished
-    | api.AttemptProgressed
-    | discovery.EndpointListUpdate
-    | api.ShutdownStarted
-    | TimerDue
-    | SubsystemEvent
-    | RoundDue
-    | ViewRequested
-    | AnswerReady
-)
-
-
-class DeciderMailbox(Mailbox[DeciderMessage]):
-    """New requests in a line of their own, behind all that ends, leaves or is withdrawn."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self._requests: deque[ReceivedRequest] = deque()
-
-    def put(self, message: DeciderMessage) -> None:
-        if isinstance(message, ReceivedRequest):
-            self._requests.append(message)
-            self.wake()
-        else:
-            super().put(message)
-
-    def take(self) -> DeciderMessage | None:
-        message = super().take()
-        if message is None and self._requests:
-            self.wake()
-        return message
-
-    @property
-    def first_request(self) -> ReceivedRequest | None:
-        return self._requests[0] if self._requests else None
-
-    def drop_first_request(self) -> None:
-        self._requests.popleft()
-        if not self._requests and not len(self):
-            self.rest()
-
-
 class Decider(Actor[DeciderMessage]):
     mailbox: DeciderMailbox
 
--- /dev/null
+++ b/lotusstream/net/decider_mailbox.py
@@ -0,0 +1,39 @@
+"""The decider's mailbox."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from lotusstream.net.actor import Mailbox
+from lotusstream.net.client import ReceivedRequest
+from lotusstream.net.decider_messages import DeciderMessage
+
+
+class DeciderMailbox(Mailbox[DeciderMessage]):
+    """New requests in a line of their own, behind all that ends, leaves or is withdrawn."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self._requests: deque[ReceivedRequest] = deque()
+
+    def put(self, message: DeciderMessage) -> None:
+        if isinstance(message, ReceivedRequest):
+            self._requests.append(message)
+            self.wake()
+        else:
+            super().put(message)
+
+    def take(self) -> DeciderMessage | None:
+        message = super().take()
+        if message is None and self._requests:
+            self.wake()
+        return message
+
+    @property
+    def first_request(self) -> ReceivedRequest | None:
+        return self._requests[0] if self._requests else None
+
+    def drop_first_request(self) -> None:
+        self._requests.popleft()
+        if not self._requests and not len(self):
+            self.rest()
--- a/lotusstream/net/health_checks.py
+++ b/lotusstream/net/health_checks.py
@@ -24,7 +24,8 @@
     NoDescriptorError,
     SocketBudget,
 )
-from lotusstream.net.decider import Decider, OperatorView, SubsystemEvent, ViewRequested
+from lotusstream.net.decider import Decider
+from lotusstream.net.decider_messages import OperatorView, SubsystemEvent, ViewRequested
 from lotusstream.net.tasks import TaskContext
 from lotusstream.protocol import http
 from lotusstream.protocol import peers as wire
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -19,7 +19,8 @@
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
 from lotusstream.net.control import ControlLimits, ControlServer, Refused
-from lotusstream.net.decider import Decider, OperatorView, RoundDue, SubsystemEvent, ViewRequested
+from lotusstream.net.decider import Decider
+from lotusstream.net.decider_messages import OperatorView, RoundDue, SubsystemEvent, ViewRequested
 from lotusstream.observe.own import OwnUse, OwnUseReader
 from lotusstream.operator.file import OperatorFile
 from lotusstream.protocol import control as wire
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -11,7 +11,8 @@
 from lotusstream.net.client import TenantOf
 from lotusstream.net.clock import Clock
 from lotusstream.net.configuration import Configuration, ConfigurationError
-from lotusstream.net.decider import Decider, DecisionModule, SubsystemEvent
+from lotusstream.net.decider import Decider, DecisionModule
+from lotusstream.net.decider_messages import SubsystemEvent
 from lotusstream.operator.file import OperatorFile, fixed_differences
 from lotusstream.operator.problems import OperatorFileError
 
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -10,7 +10,7 @@
 
 from lotusstream.cells.controller import Drives
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.decider import SubsystemEvent
+from lotusstream.net.decider_messages import SubsystemEvent
 from lotusstream.operator.fleet import MOVES
 
 PLAN = "plan"
