--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -14,11 +14,17 @@
 
 from benchmarks.fleet import LOOKUP, PROFILES, REPORT, Fleet, Outcome, S, Script, Wish
 from lotusstream import interface as api
-from lotusstream.cells.assignment import shard, shared_all, shared_some
-from lotusstream.cells.controller import CellAdmission, CellController, MoveTenant, Written, moves_in
-from lotusstream.cells.fault_attribution import FaultAttribution
-from lotusstream.cells.move import Move, Step, terms
-from lotusstream.cells.plan import Cell, Engines, Plan, Source, TenantSource
+from lotusstream.cells.assignment import expected_overlap_ratio, full_overlap_probability, shuffle_shard
+from lotusstream.cells.controller import (
+    CellAdmission,
+    CellController,
+    MigrateTenant,
+    MigrationPersisted,
+    recover_migrations,
+)
+from lotusstream.cells.heavy_hitters import HeavyHitters
+from lotusstream.cells.migration import Migration, MigrationStep, migration_timing
+from lotusstream.cells.plan import Cell, CellPlan, EndpointSelector, TenantSource, TenantSourceKind
 from lotusstream.cells.trie import NameTrie
 from lotusstream.policy import Gateway
 
@@ -91,23 +97,27 @@
         return sum(self.met[name] for name in names) / sum(self.asked[name] for name in names)
 
 
-def one(*numbers: int) -> Engines:
-    return Engines(ids=frozenset(bytes([number + 1] * 6) for number in numbers))
+def one(*numbers: int) -> EndpointSelector:
+    return EndpointSelector(ids=frozenset(bytes([number + 1] * 6) for number in numbers))
 
 
-def three_cells() -> Plan:
+def three_cells() -> CellPlan:
     """Two engines each, one of each kind; tenants by turns."""
     cells = tuple(Cell(f"cell-{at}", (one(at, at + 3),)) for at in range(3))
     tenants = NameTrie((name, f"cell-{at % 3}") for at, name in enumerate(TENANTS))
-    return Plan(1, (TenantSource(Source.KEY),), cells, tenants, "cell-0", "cell-0")
+    return CellPlan(1, (TenantSource(TenantSourceKind.KEY),), cells, tenants, "cell-0", "cell-0")
 
 
-def drawn_cells() -> Plan:
+def drawn_cells() -> CellPlan:
     cells = tuple(Cell(f"cell-{at}", (one(at, at + 3),), weight=1.0) for at in range(3))
-    return Plan(1, (TenantSource(Source.KEY),), cells, NameTrie(), "cell-0")
+    return CellPlan(1, (TenantSource(TenantSourceKind.KEY),), cells, NameTrie(), "cell-0")
 
 
-PLANS: dict[str, Callable[[], Plan] | None] = {"cells": three_cells, "drawn": drawn_cells, "without": None}
+PLANS: dict[str, Callable[[], CellPlan] | None] = {
+    "cells": three_cells,
+    "drawn": drawn_cells,
+    "without": None,
+}
 
 
 def play(job: tuple[str, bool, int]) -> dict[str, Any]:
@@ -115,7 +125,7 @@
     make = PLANS[variant]
     module: Any = Gateway()
     if make is not None:
-        keeper = CellController(make(), terms(PROFILES, 2 * S, 30 * S), PROFILES)
+        keeper = CellController(make(), migration_timing(PROFILES, 2 * S, 30 * S), PROFILES)
         module = CellAdmission(Gateway().handle, keeper, lambda _: None, lambda _: None)
     engines = ((0, 8.0),) * 3 + ((1, 8.0),) * 3
     fleet = Tenants(Script(END, rate, engines=engines), seed, module, poison)
@@ -136,17 +146,17 @@
     """Every tenant is moved on to the next cell, one begun in each two seconds, under load."""
 
     def __init__(self, seed: int) -> None:
-        self.keeper = CellController(three_cells(), terms(PROFILES, HOLD, 30 * S), PROFILES)
-        self.written: list[Move] = []
+        self.keeper = CellController(three_cells(), migration_timing(PROFILES, HOLD, 30 * S), PROFILES)
+        self.written: list[Migration] = []
         module = CellAdmission(Gateway().handle, self.keeper, self._write, lambda _: None)
         super().__init__(Script(END, rate, engines=((0, 8.0),) * 3 + ((1, 8.0),) * 3), seed, module, False)
         self.came: dict[int, int] = {}
         self.longest, self.behind = 0, 0
         self.finals: dict[int, int] = {}
 
-    def _write(self, move: Move) -> None:
+    def _write(self, move: Migration) -> None:
         self.written.append(move)
-        self.at(self.now + 5_000, lambda: self._wish(Written(move)))
+        self.at(self.now + 5_000, lambda: self._wish(MigrationPersisted(move)))
 
     def run(self) -> Outcome:
         for at, tenant in enumerate(TENANTS):
@@ -155,9 +165,9 @@
         return super().run()
 
     def _move(self, tenant: str, target: str) -> None:
-        self._wish(MoveTenant(tenant, target, "benchmark"))
+        self._wish(MigrateTenant(tenant, target, "benchmark"))
 
-    def _wish(self, event: MoveTenant | Written) -> None:
+    def _wish(self, event: MigrateTenant | MigrationPersisted) -> None:
         self._act(self.module.handle(self.now, event))  # type: ignore[arg-type]
 
     def tell(self, event: api.Event) -> None:
@@ -185,16 +195,17 @@
 def play_moves(seed: int) -> dict[str, Any]:
     fleet = Moves(seed)
     out = fleet.run()
-    ended = [move for move in fleet.written if move.step in (Step.DONE, Step.UNDONE)]
+    ended = [move for move in fleet.written if move.step in (MigrationStep.DONE, MigrationStep.UNDONE)]
     wrong = [
         name for at, name in enumerate(TENANTS) if fleet.keeper.plan.home(name) != f"cell-{(at + 1) % 3}"
     ]
     bad = sum(
-        moves_in(fleet.written[:point], 0).get(move.tenant, move).step not in (Step.DONE, Step.UNDONE)
+        recover_migrations(fleet.written[:point], 0).get(move.tenant, move).step
+        not in (MigrationStep.DONE, MigrationStep.UNDONE)
         for point, move in enumerate(fleet.written, 1)
     )
     return {
-        "moves": len(ended), "undone": sum(move.step is Step.UNDONE for move in ended),
+        "moves": len(ended), "undone": sum(move.step is MigrationStep.UNDONE for move in ended),
         "not_there": len(wrong),
         "commands": len(fleet.finals), "twice": sum(count > 1 for count in fleet.finals.values()),
         "lost": out.lost, "broken": out.broken, "behind": fleet.behind, "longest": fleet.longest / 1000,
@@ -248,7 +259,7 @@
     copied = dict(moved)
     change = timed(lambda: moved.set(entries[next(at) % 99_000], "b"))
     copy = timed(lambda: {**copied, entries[next(at) % 99_000]: "b"}, least=0.05)
-    blame, plain, clock = FaultAttribution(1000, 30 * S), dict[str, float](), iter(range(0, 10**15, 100))
+    blame, plain, clock = HeavyHitters(1000, 30 * S), dict[str, float](), iter(range(0, 10**15, 100))
     add = timed(lambda: blame.add(next(clock), f"t{next(at) % 100_000}", 1.0))
 
     def counted() -> None:
@@ -257,7 +268,7 @@
 
     add_plain = timed(counted)
     kinds = {0: [bytes([n]) for n in range(10)], 1: [bytes([100 + n]) for n in range(10)]}
-    shards = [shard(f"t{number}", kinds, 3) for number in range(400)]
+    shards = [shuffle_shard(f"t{number}", kinds, 3) for number in range(400)]
     pairs = [(a, b) for at_a, a in enumerate(shards) for b in shards[at_a + 1 :]]
     same = sum(a == b for a, b in pairs) / len(pairs)
     some = sum(len(a & b) for a, b in pairs) / len(pairs) / 6
@@ -267,8 +278,8 @@
         "plan_change_us_copied_dict": copy / 1000,
         "blame_add_ns": add, "blame_add_ns_plain_dict": add_plain, "blame_kept": len(blame),
         "blame_kept_plain_dict": len(plain), "shards_same": same,
-        "shards_same_formula": shared_all(10, 3) ** 2,
-        "shards_overlap": some, "shards_overlap_formula": shared_some(10, 3),
+        "shards_same_formula": full_overlap_probability(10, 3) ** 2,
+        "shards_overlap": some, "shards_overlap_formula": expected_overlap_ratio(10, 3),
     }  # fmt: skip
     return [], told
 
--- a/lotusstream/cells/controller.py
+++ b/lotusstream/cells/controller.py
@@ -11,10 +11,18 @@
 from dataclasses import dataclass, field, replace
 
 from lotusstream import interface as api
-from lotusstream.cells import move as moving
-from lotusstream.cells.move import Move, MoveError, Step, Terms
-from lotusstream.cells.plan import Cell, Empty, Members, Plan, crossing, engines_for, members
-from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonTerms
+from lotusstream.cells import migration as moving
+from lotusstream.cells.migration import Migration, MigrationError, MigrationStep, MigrationTiming
+from lotusstream.cells.plan import (
+    Cell,
+    CellMembership,
+    CellPlan,
+    EmptyCellPolicy,
+    assign_endpoints,
+    endpoints_for,
+    profiles_losing_deduplication,
+)
+from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonSettings
 from lotusstream.interface import EndpointStatus
 
 JUDGE_EVERY = 1_000_000  # microseconds
@@ -22,60 +30,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoveTenant:
+class MigrateTenant:
     tenant: str
     target: str
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class AbortMove:
+class AbortMigration:
     tenant: str
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class MigrationPersisted:
     """The step is on the disk."""
 
-    move: Move
+    move: Migration
 
 
 @dataclass(frozen=True, slots=True)
-class NotWritten:
+class MigrationNotPersisted:
     """It is not, and will not be found there."""
 
-    move: Move
+    move: Migration
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class NewPlan:
+class PlanReplaced:
     """Read anew while running. What was moved by hand stays moved where its cell is still there."""
 
-    plan: Plan
+    plan: CellPlan
 
 
 @dataclass(frozen=True, slots=True)
-class Drives:
+class MigrationLeaseChanged:
     """Whether this gateway may begin moves for the fleet: under a token that only grows, or, where that is 0,
     not at all. Without this event it may."""
 
     token: int
 
 
-CellEvent = MoveTenant | AbortMove | Written | NotWritten | NewPlan | Drives
+CellEvent = (
+    MigrateTenant
+    | AbortMigration
+    | MigrationPersisted
+    | MigrationNotPersisted
+    | PlanReplaced
+    | MigrationLeaseChanged
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class PersistMigration:
     """To be written down before it is acted on."""
 
-    move: Move
+    move: Migration
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class MigrationRejected:
     """A wish by hand that is not carried out, and why."""
 
     tenant: str
@@ -83,7 +98,7 @@
 
 
 @dataclass(slots=True)
-class Confinement:
+class CellAssignment:
     """A cell, or a tenant's shard of one, as the module knows it."""
 
     number: int
@@ -94,20 +109,20 @@
 
 
 @dataclass(slots=True)
-class OpenCommand:
+class TrackedRequest:
     tenant: str | None
     profile: int
     taken: int
     version: int
     hint: int | None
-    place: Confinement | None  # None: behind a fence
+    place: CellAssignment | None  # None: behind a fence
     sent: bool = False
     over: bool = False
     out: set[int] = field(default_factory=set)
 
 
 @dataclass(frozen=True, slots=True)
-class CellView:
+class CellStatus:
     """`unserved`: places of the profiles that no ready engine here may serve."""
 
     name: str
@@ -121,18 +136,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class CellsStatus:
     """`held`: commands behind a fence."""
 
     version: int
-    cells: tuple[CellView, ...]
-    moves: tuple[Move, ...]
+    cells: tuple[CellStatus, ...]
+    moves: tuple[Migration, ...]
     homeless: tuple[api.EndpointId, ...]
     held: int
     poisoned: tuple[str, ...]
 
 
-Told = list[api.Event | Write | Refused]
+Told = list[api.Event | PersistMigration | MigrationRejected]
 
 
 class CellController:
@@ -140,11 +155,11 @@
 
     def __init__(
         self,
-        plan: Plan,
-        terms: Terms,
+        plan: CellPlan,
+        terms: MigrationTiming,
         profiles: tuple[api.Profile, ...],
-        moves: Iterable[Move] = (),
-        poison: PoisonTerms | None = None,
+        moves: Iterable[Migration] = (),
+        poison: PoisonSettings | None = None,
     ) -> None:
         """`moves`: as the log has them, from `recovered`. `poison`: when a tenant goes to quarantine, if
         ever."""
@@ -156,18 +171,18 @@
         self._marked: dict[str, int] = {}  # when a tenant last sent something that carries a mark
         self.plan, self._terms, self._profiles = plan, terms, profiles
         self._listed: dict[api.EndpointId, api.EndpointEntry] = {}
-        self._members = Members({}, (), ())
+        self._members = CellMembership({}, (), ())
         self._pools = {cell.name: at for at, cell in enumerate(plan.cells)}
-        self._places: dict[tuple[str, str | None], Confinement] = {}
+        self._places: dict[tuple[str, str | None], CellAssignment] = {}
         self._numbers = FENCE
-        self._open: dict[int, OpenCommand] = {}
+        self._open: dict[int, TrackedRequest] = {}
         self._sends: dict[int, int] = {}
         self._by_tenant: dict[str, set[int]] = {}
-        self.moves: dict[str, Move] = {}
-        self._writing: dict[str, Move] = {}
+        self.moves: dict[str, Migration] = {}
+        self._writing: dict[str, Migration] = {}
         for each in moves:
             self.moves[each.tenant] = each
-            if each.step is Step.DONE:
+            if each.step is MigrationStep.DONE:
                 self.plan = self.plan.with_moved(each.tenant, each.target)
                 target = self.plan.cell(each.target)
                 if target is not None and target.quarantine:
@@ -179,11 +194,11 @@
         """Why a move would not be begun, if it would not."""
         try:
             self._begun(now, tenant, target, "")
-        except MoveError as error:
+        except MigrationError as error:
             return str(error)
         return None
 
-    def standing(self) -> Standing:
+    def standing(self) -> CellsStatus:
         cells = []
         for cell in self.plan.cells:
             inside = self._members.engines.get(cell.name, ())
@@ -195,17 +210,17 @@
             unserved = [
                 at
                 for at in range(len(self._profiles))
-                if not self._serving(cell, OpenCommand(None, at, 0, 0, None, None))
+                if not self._serving(cell, TrackedRequest(None, at, 0, 0, None, None))
             ]
             cells.append(
-                CellView(
+                CellStatus(
                     cell.name,
                     tuple(engine.id for engine in inside),
                     sum(engine.status is EndpointStatus.READY for engine in inside),
                     len(here),
                     len({each.tenant for each in here}),
                     tuple(unserved),
-                    cell.lender if cell.empty is Empty.BORROW else None,
+                    cell.lender if cell.empty is EmptyCellPolicy.BORROW else None,
                     cell.quarantine,
                 )
             )
@@ -213,7 +228,7 @@
         held = sum(each.place is None for each in self._open.values())
         moves = tuple(self.moves.values())
         poisoned = tuple(sorted({*self._ward, *self._shut}))
-        return Standing(self.plan.version, tuple(cells), moves, homeless, held, poisoned)
+        return CellsStatus(self.plan.version, tuple(cells), moves, homeless, held, poisoned)
 
     def begun_anew(self) -> Told:
         """For a module that knows nothing: the cells as they stand. All that was open has failed, and what
@@ -227,9 +242,11 @@
             place.users = 0
             told.append(api.CellEndpointsChanged(place.number, self._pools.get(place.cell, 0), place.engines))
         for move in self.moves.values():
-            if move.step not in moving.NO_WAY_BACK:
-                self._writing[move.tenant] = replace(move, step=Step.UNDONE, why="the module began anew")
-                told.append(Write(self._writing[move.tenant]))
+            if move.step not in moving.IRREVERSIBLE_STEPS:
+                self._writing[move.tenant] = replace(
+                    move, step=MigrationStep.UNDONE, why="the module began anew"
+                )
+                told.append(PersistMigration(self._writing[move.tenant]))
         return told
 
     # Commands
@@ -237,11 +254,11 @@
     def arrived(self, now: int, event: api.RequestReceived) -> Told:
         """The command with its cell, held behind a fence, or refused at once."""
         tenant = event.tenant
-        command = OpenCommand(tenant, event.profile, now, self.plan.version, event.work_hint, None)
+        command = TrackedRequest(tenant, event.profile, now, self.plan.version, event.work_hint, None)
         self._open[event.request_id] = command
         if tenant is not None:
             self._by_tenant.setdefault(tenant, set()).add(event.request_id)
-        if tenant is not None and moving.holds(self.moves.get(tenant)):
+        if tenant is not None and moving.holds_new_requests(self.moves.get(tenant)):
             return [replace(event, cell=FENCE)]
         if tenant is not None and now < self._shut.get(tenant, now):
             return [replace(event, cell=FENCE), api.RequestWithdrawn(event.request_id)]
@@ -252,45 +269,52 @@
             told.append(api.RequestWithdrawn(event.request_id))
         return told
 
-    def _place(self, command: OpenCommand) -> tuple[Told, bool]:
+    def _place(self, command: TrackedRequest) -> tuple[Told, bool]:
         """Its cell, or the one that lends; whether it is to be refused, as nobody there may serve it."""
         cell = self.plan.cell(self.plan.home(command.tenant))
         if cell is None:
             return [], True
         serving = self._serving(cell, command)
-        if not serving and cell.empty is Empty.BORROW and not cell.quarantine and cell.lender is not None:
+        if (
+            not serving
+            and cell.empty is EmptyCellPolicy.BORROW
+            and not cell.quarantine
+            and cell.lender is not None
+        ):
             lender = self.plan.cell(cell.lender)
             if lender and self._serving(lender, command) and not self._crosses(command, cell, lender):
                 cell, serving = lender, True
         told = self._enter(command, cell)
         return told, not serving
 
-    def _crosses(self, command: OpenCommand, cell: Cell, lender: Cell) -> bool:
+    def _crosses(self, command: TrackedRequest, cell: Cell, lender: Cell) -> bool:
         """A repeat of what ran here would be new there: its engines do not drop it."""
         profile = self._profiles[command.profile]
-        return bool(crossing(self.plan, cell, lender, self._listed.values(), {"": profile}))
+        return bool(
+            profiles_losing_deduplication(self.plan, cell, lender, self._listed.values(), {"": profile})
+        )
 
-    def _serving(self, cell: Cell, command: OpenCommand) -> bool:
+    def _serving(self, cell: Cell, command: TrackedRequest) -> bool:
         profile = self._profiles[command.profile]
         return any(
             engine.status is EndpointStatus.READY and profile.admits(engine)
             for engine in self._members.engines.get(cell.name, ())
         )
 
-    def _enter(self, command: OpenCommand, cell: Cell) -> Told:
+    def _enter(self, command: TrackedRequest, cell: Cell) -> Told:
         key = (cell.name, command.tenant if cell.shard else None)
         place = self._places.get(key)
         told: Told = []
         if place is None:
             self._numbers += 1
-            place = self._places[key] = Confinement(self._numbers, cell.name, key[1])
+            place = self._places[key] = CellAssignment(self._numbers, cell.name, key[1])
             place.engines = self._engines(place)
             told.append(api.CellEndpointsChanged(place.number, self._pools[cell.name], place.engines))
         place.users += 1
         command.place = place
         return told
 
-    def _leave(self, command: OpenCommand) -> Told:
+    def _leave(self, command: TrackedRequest) -> Told:
         """A shard that nobody uses any more is forgotten: tenants come and go by the thousand."""
         place, command.place = command.place, None
         if place is None:
@@ -301,11 +325,11 @@
         del self._places[place.cell, place.tenant]
         return [api.CellEndpointsChanged(place.number, self._pools.get(place.cell, 0), frozenset())]
 
-    def _engines(self, place: Confinement) -> frozenset[api.EndpointId]:
+    def _engines(self, place: CellAssignment) -> frozenset[api.EndpointId]:
         cell = self.plan.cell(place.cell)
         if cell is None:
             return frozenset()
-        return engines_for(self.plan, cell, place.tenant, self._members.engines.get(cell.name, ()))
+        return endpoints_for(self.plan, cell, place.tenant, self._members.engines.get(cell.name, ()))
 
     # All else
 
@@ -321,17 +345,17 @@
                 return self._over(command)
             case api.BatchEnded():
                 return self._tick(now)
-            case MoveTenant(tenant, target, why):
+            case MigrateTenant(tenant, target, why):
                 return self._begin(now, tenant, target, why)
-            case AbortMove(tenant, why):
+            case AbortMigration(tenant, why):
                 return self._abort(now, tenant, why)
-            case Written(move):
+            case MigrationPersisted(move):
                 return self._written(now, move)
-            case NotWritten(move, why):
+            case MigrationNotPersisted(move, why):
                 return self._not_written(now, move, why)
-            case NewPlan(plan):
+            case PlanReplaced(plan):
                 return self._replan(now, plan)
-            case Drives(token):
+            case MigrationLeaseChanged(token):
                 return self._drives(now, token)
         return []
 
@@ -397,7 +421,7 @@
         return self._regroup()
 
     def _regroup(self) -> Told:
-        self._members = members(self.plan, self._listed.values())
+        self._members = assign_endpoints(self.plan, self._listed.values())
         told: Told = []
         for place in self._places.values():
             engines = self._engines(place)
@@ -412,13 +436,13 @@
         """The tenant's commands that were sent and are not over with all their sends."""
         return sum(self._open[command].sent for command in self._by_tenant.get(tenant, ()))
 
-    def _target_fails(self, move: Move) -> str | None:
+    def _target_fails(self, move: Migration) -> str | None:
         """What the target can't serve that the source could."""
         source, target = self.plan.cell(move.source), self.plan.cell(move.target)
         if target is None:
             return "the plan has no such cell any more"
         for at, profile in enumerate(self._profiles):
-            command = OpenCommand(move.tenant, at, 0, 0, None, None)
+            command = TrackedRequest(move.tenant, at, 0, 0, None, None)
             if source is not None and self._serving(source, command) and not self._serving(target, command):
                 kinds = "its kind" if profile.kinds is not None else "any"
                 return f"no ready engine of {kinds} for profile {at}"
@@ -433,10 +457,14 @@
             if tenant in self._ward or now < self._shut.get(tenant, now) or self._moving(tenant):
                 continue
             ward = judge.terms.cell
-            begun = self._begin(now, tenant, ward, str(each)) if ward else [Refused(tenant, str(each))]
-            if isinstance(begun[0], Refused):  # there is no ward, or it can't serve what the tenant needs
+            begun = (
+                self._begin(now, tenant, ward, str(each)) if ward else [MigrationRejected(tenant, str(each))]
+            )
+            if isinstance(
+                begun[0], MigrationRejected
+            ):  # there is no ward, or it can't serve what the tenant needs
                 self._shut[tenant] = now + judge.terms.stay
-                begun = [Refused(tenant, f"'{tenant}' is refused for a time: {begun[0].why}")]
+                begun = [MigrationRejected(tenant, f"'{tenant}' is refused for a time: {begun[0].why}")]
             else:
                 self._ward[tenant] = now
             told += begun
@@ -451,7 +479,7 @@
         return told
 
     def _moving(self, tenant: str) -> bool:
-        return (move := self.moves.get(tenant)) is not None and move.step not in moving.OVER
+        return (move := self.moves.get(tenant)) is not None and move.step not in moving.FINAL_STEPS
 
     def _tick(self, now: int) -> Told:
         told: Told = []
@@ -462,7 +490,7 @@
             rest = self._terms.rest
             self._marked = {tenant: at for tenant, at in self._marked.items() if now - at < rest}
         for tenant, move in list(self.moves.items()):
-            if move.step in moving.OVER or tenant in self._writing:
+            if move.step in moving.FINAL_STEPS or tenant in self._writing:
                 continue
             following = moving.advance(now, move, self._terms, self._busy(tenant), self._target_fails(move))
             if following is not None:
@@ -471,26 +499,26 @@
             if (
                 found.place is None
                 and not found.over
-                and moving.patience_is_over(now, found.taken, self._terms)
+                and moving.hold_has_expired(now, found.taken, self._terms)
             ):
                 told.append(api.RequestWithdrawn(command))
         return told
 
-    def _step(self, move: Move) -> Told:
+    def _step(self, move: Migration) -> Told:
         """Within a step nothing is to be written; the next one waits for the disk."""
         if move.step is self.moves[move.tenant].step:
             self.moves[move.tenant] = move
             return []
         self._writing[move.tenant] = move
-        return [Write(move)]
+        return [PersistMigration(move)]
 
     def _begin(self, now: int, tenant: str, target: str, why: str) -> Told:
         try:
             move = self._begun(now, tenant, target, why)
-        except MoveError as error:
-            return [Refused(tenant, str(error))]
+        except MigrationError as error:
+            return [MigrationRejected(tenant, str(error))]
         self.moves[tenant] = self._writing[tenant] = move
-        return [Write(move)]
+        return [PersistMigration(move)]
 
     def _drives(self, now: int, token: int) -> Told:
         """An older token than one seen is a late word. Whoever may drive no more undoes what can come back:
@@ -500,54 +528,58 @@
         self._token, self._driving = max(token, self._token), token > 0
         told: Told = []
         for tenant, move in [] if self._driving else list(self.moves.items()):
-            if move.step not in moving.NO_WAY_BACK and move.step not in moving.OVER:
+            if move.step not in moving.IRREVERSIBLE_STEPS and move.step not in moving.FINAL_STEPS:
                 told += self._abort(now, tenant, "another gateway may drive moves now")
         return told
 
-    def _begun(self, now: int, tenant: str, target: str, why: str) -> Move:
+    def _begun(self, now: int, tenant: str, target: str, why: str) -> Migration:
         if not self._driving:
-            raise MoveError("another gateway drives moves, or none can be told: 'ctl leases' says who")
+            raise MigrationError("another gateway drives moves, or none can be told: 'ctl leases' says who")
         move = moving.begin(now, tenant, self.plan.home(tenant), target, self.moves, why)
         if (fails := self._target_fails(move)) is not None:
-            raise MoveError(f"'{target}' can't take '{tenant}': {fails}")
+            raise MigrationError(f"'{target}' can't take '{tenant}': {fails}")
         return move
 
     def _abort(self, now: int, tenant: str, why: str) -> Told:
         move = self.moves.get(tenant)
-        if move is None or move.step in moving.OVER:
-            return [Refused(tenant, f"'{tenant}' is not being moved")]
-        if (writing := self._writing.get(tenant)) is not None and writing.step in moving.NO_WAY_BACK:
-            return [Refused(tenant, f"the move of '{tenant}' has just been switched: move it back instead")]
+        if move is None or move.step in moving.FINAL_STEPS:
+            return [MigrationRejected(tenant, f"'{tenant}' is not being moved")]
+        if (writing := self._writing.get(tenant)) is not None and writing.step in moving.IRREVERSIBLE_STEPS:
+            return [
+                MigrationRejected(
+                    tenant, f"the move of '{tenant}' has just been switched: move it back instead"
+                )
+            ]
         try:
             return self._step(moving.abort(now, move, why))
-        except MoveError as error:
-            return [Refused(tenant, str(error))]
+        except MigrationError as error:
+            return [MigrationRejected(tenant, str(error))]
 
-    def _written(self, now: int, move: Move) -> Told:
+    def _written(self, now: int, move: Migration) -> Told:
         if self._writing.get(move.tenant) != move:
             return []  # overtaken by an abort
         del self._writing[move.tenant]
         self.moves[move.tenant] = move
         match move.step:
-            case Step.FENCED:
+            case MigrationStep.FENCED:
                 return self._fence(move.tenant)
-            case Step.SWITCHED:
+            case MigrationStep.SWITCHED:
                 written = self.plan.written(move.tenant) == move.target
                 self.plan = self.plan.with_moved(move.tenant, None if written else move.target)
-            case Step.DONE | Step.UNDONE:
+            case MigrationStep.DONE | MigrationStep.UNDONE:
                 return self._let_go(now, move.tenant)
         return []
 
-    def _not_written(self, now: int, move: Move, why: str) -> Told:
+    def _not_written(self, now: int, move: Migration, why: str) -> Told:
         """A disk that can't be written stops moves, not service: what is not switched goes back at once."""
         if self._writing.get(move.tenant) != move:
             return []
         del self._writing[move.tenant]
         current = self.moves[move.tenant]
-        if current.step is Step.SWITCHED:  # its end only: the log reads as ended in any case
-            self.moves[move.tenant] = replace(move, step=Step.DONE)
+        if current.step is MigrationStep.SWITCHED:  # its end only: the log reads as ended in any case
+            self.moves[move.tenant] = replace(move, step=MigrationStep.DONE)
             return self._let_go(now, move.tenant)
-        self.moves[move.tenant] = replace(current, step=Step.UNDONE, since=now, why=why)
+        self.moves[move.tenant] = replace(current, step=MigrationStep.UNDONE, since=now, why=why)
         return self._let_go(now, move.tenant)
 
     def _fence(self, tenant: str) -> Told:
@@ -567,11 +599,11 @@
                 placing, refused = self._place(found)
                 number = found.place.number if found.place else FENCE
                 told += [*placing, api.RequestMigrated(command, number)]
-                if refused or moving.patience_is_over(now, found.taken, self._terms):
+                if refused or moving.hold_has_expired(now, found.taken, self._terms):
                     told.append(api.RequestWithdrawn(command))
         return told
 
-    def _replan(self, now: int, plan: Plan) -> Told:
+    def _replan(self, now: int, plan: CellPlan) -> Told:
         """Open commands stay where they were taken to, while that cell is there; moves to or from a cell
         that is no more are undone. A tenant that may have marks remembered in its old cell is not switched at
         once: it stays there and is moved, as by hand."""
@@ -592,7 +624,7 @@
             self._pools.setdefault(cell.name, len(self._pools))
         told = self._regroup()
         for tenant, move in list(self.moves.items()):
-            if move.step not in moving.NO_WAY_BACK and not {move.source, move.target} <= names:
+            if move.step not in moving.IRREVERSIBLE_STEPS and not {move.source, move.target} <= names:
                 told += self._abort(now, tenant, "the plan was read anew without its cell")
         for tenant, new in moving_on:
             if not self._moving(tenant):
@@ -611,7 +643,7 @@
         self,
         module: Module,
         keeper: CellController,
-        write: Callable[[Move], None],
+        write: Callable[[Migration], None],
         refused: Callable[[str], None],
     ) -> None:
         self._module, self.keeper, self._write, self._refused = module, keeper, write, refused
@@ -632,9 +664,9 @@
     def _carry_out(self, now: int, told: Told) -> list[api.Action]:
         done: list[api.Action] = []
         for each in told:
-            if isinstance(each, Write):
+            if isinstance(each, PersistMigration):
                 self._write(each.move)
-            elif isinstance(each, Refused):
+            elif isinstance(each, MigrationRejected):
                 self._refused(each.why)
             else:
                 actions = list(self._module(now, each))
@@ -644,9 +676,9 @@
         return done
 
 
-def moves_in(records: Iterable[Move], now: int) -> Mapping[str, Move]:
+def recover_migrations(records: Iterable[Migration], now: int) -> Mapping[str, Migration]:
     """The last step of each tenant's move as written down, each ended or undone."""
-    found: dict[str, Move] = {}
+    found: dict[str, Migration] = {}
     for move in records:
         found[move.tenant] = move
     return {tenant: moving.recovered(now, move) for tenant, move in found.items()}
--- a/lotusstream/cells/fault_attribution.py
+++ b/lotusstream/cells/heavy_hitters.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Blamed:
+class CountEstimate:
     """`certain`: no less than that; `most`: no more."""
 
     tenant: str
@@ -30,7 +30,7 @@
     most: float
 
 
-class FaultAttribution:
+class HeavyHitters:
     """Halves in each `half_life`, microseconds. Memory is bounded by `most` tenants.
 
     Fading is by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): what is new is counted for
@@ -76,13 +76,13 @@
             heapq.heapreplace(self._line, (count, self._line[0][1]))
         return self._line[0][1]
 
-    def of(self, now: int, tenant: str) -> Blamed:
+    def of(self, now: int, tenant: str) -> CountEstimate:
         scale, entry = self._scale(now), self._entries.get(tenant)
         if entry is None:
-            return Blamed(tenant, 0.0, 0.0)
-        return Blamed(tenant, (entry.count - entry.error) / scale, entry.count / scale)
+            return CountEstimate(tenant, 0.0, 0.0)
+        return CountEstimate(tenant, (entry.count - entry.error) / scale, entry.count / scale)
 
-    def past(self, now: int, bound: float) -> Iterator[Blamed]:
+    def past(self, now: int, bound: float) -> Iterator[CountEstimate]:
         """Those that are certainly over the bound, the heaviest first."""
         found = [self.of(now, tenant) for tenant in self._entries]
         yield from sorted(
--- a/lotusstream/cells/plan.py
+++ b/lotusstream/cells/plan.py
@@ -10,7 +10,7 @@
 
 from immutables import Map
 
-from lotusstream.cells.assignment import by_kind, drawn, lot, shard
+from lotusstream.cells.assignment import choose_weighted, group_by_kind, rendezvous_hash, shuffle_shard
 from lotusstream.cells.trie import NameTrie
 from lotusstream.interface import (
     DeduplicationScope,
@@ -22,7 +22,7 @@
 )
 
 
-class Source(Enum):
+class TenantSourceKind(Enum):
     """What tells a command's tenant."""
 
     FIELD = "field"
@@ -34,12 +34,12 @@
 class TenantSource:
     """`name`: of the field, where it is one."""
 
-    source: Source
+    source: TenantSourceKind
     name: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Engines:
+class EndpointSelector:
     """A choice of engines; what is not named is left open. `part`: so much of them, by hash, from its
     first to its second edge, 0 to 1. `told_cell`: the list's own cell, the scope of dropped repeats."""
 
@@ -55,11 +55,11 @@
             and (self.kinds is None or engine.kind in self.kinds)
             and (self.told_cells is None or engine.cell in self.told_cells)
             and (self.ids is None or engine.id in self.ids)
-            and (self.part is None or self.part[0] < lot("engine", engine.id) <= self.part[1])
+            and (self.part is None or self.part[0] < rendezvous_hash("engine", engine.id) <= self.part[1])
         )
 
 
-class Empty(Enum):
+class EmptyCellPolicy(Enum):
     """What becomes of commands that no engine of their cell may serve now."""
 
     REFUSE = "refuse"
@@ -73,10 +73,10 @@
     poisoned."""
 
     name: str
-    engines: tuple[Engines, ...]
+    engines: tuple[EndpointSelector, ...]
     shard: int = 0
     weight: float = 0.0
-    empty: Empty = Empty.REFUSE
+    empty: EmptyCellPolicy = EmptyCellPolicy.REFUSE
     lender: str | None = None
     quarantine: bool = False
 
@@ -84,11 +84,11 @@
         return any(choice.takes(engine) for choice in self.engines)
 
 
-DRAWN = ""  # in place of a cell's name: drawn by weight
+BY_WEIGHT = ""  # in place of a cell's name: drawn by weight
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class CellPlan:
     """`tenants`: by name, prefix or pattern, the cell or DRAWN. `nameless`: the cell of commands without a
     tenant. `others`: of tenants that no entry fits. `moved`: tenants whose cell was changed by hand or by
     quarantine, before all else; a persistent map, so that a new version costs one path of it and no copy."""
@@ -98,7 +98,7 @@
     cells: tuple[Cell, ...]
     tenants: NameTrie[str]
     nameless: str
-    others: str = DRAWN
+    others: str = BY_WEIGHT
     seed: int = 0
     moved: Map[str, str] = field(default_factory=Map)
 
@@ -118,12 +118,12 @@
         name = self.tenants.find(tenant)
         if name is None:
             name = self.others
-        if name != DRAWN:
+        if name != BY_WEIGHT:
             return name
         weights = {cell.name: cell.weight for cell in self.cells if not cell.quarantine}
-        return drawn(tenant, weights, self.seed) or self.nameless
+        return choose_weighted(tenant, weights, self.seed) or self.nameless
 
-    def with_moved(self, tenant: str, cell: str | None) -> Plan:
+    def with_moved(self, tenant: str, cell: str | None) -> CellPlan:
         """The next version: the tenant lives in that cell, or where the plan as written puts it."""
         moved = self.moved
         if cell is not None:
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
+class CellMembership:
     """The engines of each cell, as the list stands."""
 
     engines: Mapping[str, tuple[EndpointEntry, ...]]
@@ -142,7 +142,7 @@
     doubled: tuple[tuple[EndpointEntry, str, str], ...]
 
 
-def members(plan: Plan, listed: Iterable[EndpointEntry]) -> Members:
+def assign_endpoints(plan: CellPlan, listed: Iterable[EndpointEntry]) -> CellMembership:
     """Gone engines belong nowhere; an engine that two cells take belongs to the first, and is told."""
     found: dict[str, list[EndpointEntry]] = {cell.name: [] for cell in plan.cells}
     homeless, doubled = [], []
@@ -155,21 +155,23 @@
             continue
         found[takers[0]].append(engine)
         doubled += [(engine, takers[0], other) for other in takers[1:]]
-    return Members({name: tuple(each) for name, each in found.items()}, tuple(homeless), tuple(doubled))
+    return CellMembership(
+        {name: tuple(each) for name, each in found.items()}, tuple(homeless), tuple(doubled)
+    )
 
 
-def engines_for(
-    plan: Plan, cell: Cell, tenant: str | None, inside: Iterable[EndpointEntry]
+def endpoints_for(
+    plan: CellPlan, cell: Cell, tenant: str | None, inside: Iterable[EndpointEntry]
 ) -> frozenset[EndpointId]:
     """A tenant's engines in its cell: all, or its shard of them."""
     listed = [(engine.id, engine.kind) for engine in inside]
     if not cell.shard or tenant is None:
         return frozenset(engine for engine, _ in listed)
-    return shard(tenant, by_kind(listed), cell.shard, plan.seed)
+    return shuffle_shard(tenant, group_by_kind(listed), cell.shard, plan.seed)
 
 
 @dataclass(frozen=True, slots=True)
-class CellPlanError:
+class CellPlanProblem:
     """What a plan can't do with the engines that there are. `profile` where one can't be served. `grave`:
     the plan is turned down for it, not only told of."""
 
@@ -180,47 +182,49 @@
     profile: str | None = None
 
 
-def unfit(
-    plan: Plan, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
-) -> Iterator[CellPlanError]:
+def find_plan_problems(
+    plan: CellPlan, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
+) -> Iterator[CellPlanProblem]:
     """Held against the engines as listed: at the check of a plan and whenever the list has changed."""
-    standing = members(plan, listed)
+    standing = assign_endpoints(plan, listed)
     for engine in standing.homeless:
         name = engine.id.decode("latin-1")
-        yield CellPlanError("", f"engine {name} is in no cell", "let a last cell take the rest: engines all")
+        yield CellPlanProblem(
+            "", f"engine {name} is in no cell", "let a last cell take the rest: engines all"
+        )
     for engine, one, other in standing.doubled:
         name = engine.id.decode("latin-1")
-        yield CellPlanError(
+        yield CellPlanProblem(
             other, f"engine {name} belongs to '{one}', which comes first", "this may be meant", False
         )
     for cell in plan.cells:
         inside = standing.engines[cell.name]
         if not inside:
-            yield CellPlanError(cell.name, "no engine belongs to it", "widen its engines")
+            yield CellPlanProblem(cell.name, "no engine belongs to it", "widen its engines")
             continue
         for name, profile in profiles.items():
             yield from _unserved(plan, cell, inside, name, profile)
 
 
 def _unserved(
-    plan: Plan, cell: Cell, inside: tuple[EndpointEntry, ...], name: str, profile: Profile
-) -> Iterator[CellPlanError]:
+    plan: CellPlan, cell: Cell, inside: tuple[EndpointEntry, ...], name: str, profile: Profile
+) -> Iterator[CellPlanProblem]:
     if any(profile.admits(engine) for engine in inside):
         return
-    lender = plan.cell(cell.lender) if cell.empty is Empty.BORROW and cell.lender else None
+    lender = plan.cell(cell.lender) if cell.empty is EmptyCellPolicy.BORROW and cell.lender else None
     if lender is not None:
         what = f"no engine here may serve {name}: it is borrowed from '{lender.name}'"
-        yield CellPlanError(cell.name, what, "add one of its kind", grave=False, profile=name)
+        yield CellPlanProblem(cell.name, what, "add one of its kind", grave=False, profile=name)
         return
     hint = "add an engine that it is bound to, or 'empty borrow CELL'"
-    yield CellPlanError(cell.name, f"no engine here may serve {name}", hint, profile=name)
+    yield CellPlanProblem(cell.name, f"no engine here may serve {name}", hint, profile=name)
 
 
-def crossing(
-    plan: Plan, one: Cell, other: Cell, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
+def profiles_losing_deduplication(
+    plan: CellPlan, one: Cell, other: Cell, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
 ) -> list[str]:
     """Uniqued profiles whose repeats, sent to the other cell, would meet engines that don't drop them."""
-    standing = members(plan, listed)
+    standing = assign_endpoints(plan, listed)
     here, there = (standing.engines[cell.name] for cell in (one, other))
     found = []
     for name, profile in profiles.items():
--- a/lotusstream/cells/poison_requests.py
+++ b/lotusstream/cells/poison_requests.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from lotusstream import interface as api
-from lotusstream.cells.fault_attribution import FaultAttribution
+from lotusstream.cells.heavy_hitters import HeavyHitters
 
 LOST, ERROR, RUNAWAY = 3.0, 1.0, 1.0  # weights
 TIMES = 8.0  # the hint, from which on work has run away
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoisonTerms:
+class PoisonSettings:
     """`bound`: of blame. `half_life`: it fades by half in that time. `stay`: least time in quarantine,
     microseconds. `cell`: the quarantine, or None: new commands are refused for that time. `most`: tenants
     that are kept count of."""
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Poisonous:
+class PoisonVerdict:
     """Why a tenant is judged so: its blame, and how often its sends came to harm against all others'."""
 
     tenant: str
@@ -51,12 +51,12 @@
 class PoisonRequestDetector:
     """Told of every send and its outcome; judges when asked."""
 
-    def __init__(self, terms: PoisonTerms) -> None:
+    def __init__(self, terms: PoisonSettings) -> None:
         self.terms = terms
-        self._blame = FaultAttribution(terms.most, terms.half_life)
-        self._sends = FaultAttribution(terms.most, terms.half_life)
-        self._harmed = FaultAttribution(terms.most, terms.half_life)
-        self._all = FaultAttribution(2, terms.half_life)  # "sends" and "harmed" of everyone
+        self._blame = HeavyHitters(terms.most, terms.half_life)
+        self._sends = HeavyHitters(terms.most, terms.half_life)
+        self._harmed = HeavyHitters(terms.most, terms.half_life)
+        self._all = HeavyHitters(2, terms.half_life)  # "sends" and "harmed" of everyone
         self._out: dict[api.EndpointId, dict[str, int]] = {}  # sends out by tenant
         self._lost: dict[api.EndpointId, dict[str, float]] = {}  # shares of a loss that is being told
 
@@ -101,15 +101,15 @@
         self._harmed.add(now, tenant, 1.0)
         self._all.add(now, "harmed", 1.0)
 
-    def of(self, now: int, tenant: str) -> Poisonous:
+    def of(self, now: int, tenant: str) -> PoisonVerdict:
         sends, harmed = (max(each.of(now, tenant).certain, 0.0) for each in (self._sends, self._harmed))
         everyone = [self._all.of(now, name).certain for name in ("sends", "harmed")]
         rest = max(everyone[0] - sends, 0.0)
         others = max(everyone[1] - harmed, 0.0) / rest if rest >= LEAST_SENDS else 0.0
         harm = min(1.0, harmed / sends) if sends >= LEAST_SENDS else 0.0
-        return Poisonous(tenant, self._blame.of(now, tenant).certain, harm, others)
+        return PoisonVerdict(tenant, self._blame.of(now, tenant).certain, harm, others)
 
-    def poisonous(self, now: int) -> Iterator[Poisonous]:
+    def poisonous(self, now: int) -> Iterator[PoisonVerdict]:
         """The worst first."""
         for blamed in self._blame.past(now, self.terms.bound):
             found = self.of(now, blamed.tenant)
--- a/lotusstream/cells/tenant_lookup.py
+++ b/lotusstream/cells/tenant_lookup.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from lotusstream.cells.plan import Source, TenantSource
-from lotusstream.cells.trie import LONGEST_NAME
+from lotusstream.cells.plan import TenantSource, TenantSourceKind
+from lotusstream.cells.trie import MAX_NAME_LENGTH
 
 
 def lookup_tenant(
@@ -18,12 +18,12 @@
     A name that is too long for any plan is none."""
     for each in sources:
         match each.source:
-            case Source.FIELD:
+            case TenantSourceKind.FIELD:
                 found = fields.get(each.name)
-            case Source.KEY:
+            case TenantSourceKind.KEY:
                 found = key
-            case Source.SCHEMA:
+            case TenantSourceKind.SCHEMA:
                 found = schema()
-        if found and len(found) <= LONGEST_NAME:
+        if found and len(found) <= MAX_NAME_LENGTH:
             return found
     return None
--- a/lotusstream/cells/trie.py
+++ b/lotusstream/cells/trie.py
@@ -13,10 +13,10 @@
 from typing import Generic, TypeVar
 
 V = TypeVar("V")
-LONGEST_NAME, MOST_STARS = 256, 4  # characters; a pattern with more stars could take long to tell
+MAX_NAME_LENGTH, MOST_STARS = 256, 4  # characters; a pattern with more stars could take long to tell
 
 
-class BadPattern(ValueError):
+class PatternError(ValueError):
     """What is wrong with an entry."""
 
 
@@ -47,12 +47,12 @@
         return self._count
 
     def add(self, entry: str, value: V) -> None:
-        if not 0 < len(entry) <= LONGEST_NAME:
-            raise BadPattern(f"a name of {len(entry)} characters; 1 to {LONGEST_NAME} would do")
+        if not 0 < len(entry) <= MAX_NAME_LENGTH:
+            raise PatternError(f"a name of {len(entry)} characters; 1 to {MAX_NAME_LENGTH} would do")
         if entry.count("*") > MOST_STARS:
-            raise BadPattern(f"'{entry}' has more than {MOST_STARS} stars")
+            raise PatternError(f"'{entry}' has more than {MOST_STARS} stars")
         if entry in self._known:
-            raise BadPattern(f"'{entry}' comes a second time")
+            raise PatternError(f"'{entry}' comes a second time")
         self._known.add(entry)
         self._count += 1
         literals = len(entry) - entry.count("*") - entry.count("?")
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -10,8 +10,8 @@
 
 from lotusstream import __version__
 from lotusstream import interface as api
-from lotusstream.cells.controller import AbortMove, CellController, MoveTenant, NewPlan
-from lotusstream.cells.move import NO_WAY_BACK
+from lotusstream.cells.controller import AbortMigration, CellController, MigrateTenant, PlanReplaced
+from lotusstream.cells.migration import IRREVERSIBLE_STEPS
 from lotusstream.levels.controller import Hold, LevelController, NewLadder, Release
 from lotusstream.levels.history import Cause, Change
 from lotusstream.levels.signal_evaluator import Health
@@ -110,7 +110,9 @@
             self._decider.post(SubsystemEvent(NewLadder(new.ladder)))
         if new.cells is not None and self._cells is not None:
             deployment = self._given.deployment
-            self._decider.post(SubsystemEvent(NewPlan(new.cells.plan(deployment.zones, deployment.kinds))))
+            self._decider.post(
+                SubsystemEvent(PlanReplaced(new.cells.plan(deployment.zones, deployment.kinds)))
+            )
 
     # Control
 
@@ -287,15 +289,15 @@
         if (why := self._kept().refuses(self._clock.now(), tenant, cell)) is not None:
             raise Refused("unknown", why)
         if not dry_run:
-            self._decider.post(SubsystemEvent(MoveTenant(tenant, cell, "by hand")))
+            self._decider.post(SubsystemEvent(MigrateTenant(tenant, cell, "by hand")))
             await self._view()
         return self._cells_told(tenant)
 
     async def _abort(self, tenant: str) -> dict[str, Any]:
         move = self._kept().moves.get(tenant)
-        if move is None or move.step in NO_WAY_BACK:
+        if move is None or move.step in IRREVERSIBLE_STEPS:
             raise Refused("unknown", f"'{tenant}' is on no way that it could come back from")
-        self._decider.post(SubsystemEvent(AbortMove(tenant, "by hand")))
+        self._decider.post(SubsystemEvent(AbortMigration(tenant, "by hand")))
         await self._view()
         return self._cells_told(tenant)
 
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from lotusstream.cells.controller import CellController
-    from lotusstream.cells.move import Move
+    from lotusstream.cells.migration import Migration
     from lotusstream.levels.controller import LevelController
     from lotusstream.net.control import ControlServer
     from lotusstream.net.fleet import Fleet
@@ -67,8 +67,8 @@
     def __init__(self, around: SubsystemContext) -> None:
         super().__init__(around)
         from lotusstream.cells.controller import CellController
-        from lotusstream.cells.move import terms
-        from lotusstream.net.moves import MoveWriter
+        from lotusstream.cells.migration import migration_timing
+        from lotusstream.net.migrations import MoveWriter
         from lotusstream.wal.log import LogError
 
         cells, deployment = around.file.cells, around.given.deployment
@@ -81,14 +81,14 @@
         self._decider: Decider | None = None
         self.writer = MoveWriter(log, why, self._tell, around.supervisor)
         plan = cells.plan(deployment.zones, deployment.kinds)
-        move_terms = terms(profiles, cells.hold, cells.drain)
+        move_terms = migration_timing(profiles, cells.hold, cells.drain)
         self.keeper: CellController = CellController(plan, move_terms, profiles, moves, cells.poison)
 
     def _log(self, path: str | None):  # type: ignore[no-untyped-def]
-        from lotusstream.net.moves import read_moves
+        from lotusstream.net.migrations import read_moves
         from lotusstream.wal.log import DiskError, Log
 
-        moves: list[Move] = []
+        moves: list[Migration] = []
         if path is None:
             return None, "the cells have no log", moves
         try:
@@ -172,12 +172,12 @@
 
     def _leave_moves_to_others(self, decider: Decider) -> None:
         """In a fleet a move needs the lease, also where this gateway never asks for it."""
-        from lotusstream.cells.controller import Drives
+        from lotusstream.cells.controller import MigrationLeaseChanged
         from lotusstream.operator.fleet import MOVES
 
         told = self.around.file.fleet
         if told is not None and self.around.file.cells is not None and MOVES not in told.tasks:
-            decider.post(SubsystemEvent(Drives(0)))
+            decider.post(SubsystemEvent(MigrationLeaseChanged(0)))
 
     def anew(self, file: OperatorFile) -> None:
         from lotusstream.net.tasks import PLAN
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lotusstream.cells.controller import Drives
+from lotusstream.cells.controller import MigrationLeaseChanged
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.decider import SubsystemEvent
 from lotusstream.operator.fleet import MOVES
@@ -55,13 +55,13 @@
             self._around.supervisor.log.say("plan", f"no moves are begun here: {why}", reason=why)
             await asyncio.sleep(PAUSE)
         if self._around.may_act() == token:
-            self._around.tell_decider(SubsystemEvent(Drives(token)))
+            self._around.tell_decider(SubsystemEvent(MigrationLeaseChanged(token)))
 
     def stop(self, why: str) -> None:
         if self._agreeing is not None:
             self._agreeing.cancel()
             self._agreeing = None
-        self._around.tell_decider(SubsystemEvent(Drives(0)))
+        self._around.tell_decider(SubsystemEvent(MigrationLeaseChanged(0)))
 
 
 Makers = dict[str, Callable[[TaskContext], FleetTask]]
--- a/lotusstream/operator/cells.py
+++ b/lotusstream/operator/cells.py
@@ -7,9 +7,18 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from lotusstream.cells.plan import DRAWN, Cell, Empty, Engines, Plan, Source, TenantSource, unfit
-from lotusstream.cells.poison_requests import PoisonTerms
-from lotusstream.cells.trie import BadPattern, NameTrie
+from lotusstream.cells.plan import (
+    BY_WEIGHT,
+    Cell,
+    CellPlan,
+    EmptyCellPolicy,
+    EndpointSelector,
+    TenantSource,
+    TenantSourceKind,
+    find_plan_problems,
+)
+from lotusstream.cells.poison_requests import PoisonSettings
+from lotusstream.cells.trie import NameTrie, PatternError
 from lotusstream.interface import EndpointEntry, Profile
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
@@ -55,11 +64,11 @@
     others: str
     cells: tuple[tuple[Cell, tuple[EnginesText, ...]], ...]
     tenants: NameTrie[str]
-    poison: PoisonTerms | None
+    poison: PoisonSettings | None
     number: int = 0
     digest: str = ""
 
-    def plan(self, zones: Sequence[str], kinds: Sequence[str]) -> Plan:
+    def plan(self, zones: Sequence[str], kinds: Sequence[str]) -> CellPlan:
         """Raises Unfit where a zone or kind is not known."""
         cells = []
         for cell, texts in self.cells:
@@ -67,17 +76,17 @@
             cells.append(
                 Cell(cell.name, chosen, cell.shard, cell.weight, cell.empty, cell.lender, cell.quarantine)
             )
-        return Plan(1, self.sources, tuple(cells), self.tenants, self.nameless, self.others, self.seed)
+        return CellPlan(1, self.sources, tuple(cells), self.tenants, self.nameless, self.others, self.seed)
 
 
-def _chosen(text: EnginesText, zones: Sequence[str], kinds: Sequence[str]) -> Engines:
+def _chosen(text: EnginesText, zones: Sequence[str], kinds: Sequence[str]) -> EndpointSelector:
     def places(told: tuple[str, ...], known: Sequence[str], what: str) -> frozenset[int] | None:
         for each in told:
             if each not in known:
                 raise DirectiveError(f"no {what} is called '{each}'", nearest(each, known))
         return frozenset(known.index(each) for each in told) if told else None
 
-    return Engines(
+    return EndpointSelector(
         places(text.zones, zones, "zone"),
         places(text.kinds, kinds, "kind"),
         frozenset(text.list_cells) if text.list_cells else None,
@@ -138,20 +147,20 @@
     """`field NAME`, `key` or `schema`."""
     told = [word.plain() for word in words]
     if len(told) == 2 and told[0] == "field":
-        return TenantSource(Source.FIELD, told[1])
+        return TenantSource(TenantSourceKind.FIELD, told[1])
     if len(told) == 1 and told[0] in ("key", "schema"):
-        return TenantSource(Source(told[0]))
+        return TenantSource(TenantSourceKind(told[0]))
     found = f"found '{words[0].text}'" if words else "found the end of the line"
     raise DirectiveError(found, "field NAME, key or schema would do", words[0].column if words else None)
 
 
-def read_empty(words: Sequence[Word]) -> tuple[Empty, str | None]:
+def read_empty(words: Sequence[Word]) -> tuple[EmptyCellPolicy, str | None]:
     """`refuse`, or `borrow CELL`."""
     told = [word.plain() for word in words]
     if told == ["refuse"]:
-        return Empty.REFUSE, None
+        return EmptyCellPolicy.REFUSE, None
     if len(told) == 2 and told[0] == "borrow":
-        return Empty.BORROW, told[1]
+        return EmptyCellPolicy.BORROW, told[1]
     found = f"found '{words[0].text}'" if words else "found the end of the line"
     raise DirectiveError(found, "refuse, or borrow CELL, would do", words[0].column if words else None)
 
@@ -202,7 +211,7 @@
     cells = []
     for node in block.all("cell"):
         here = node.values["a name"]
-        empty, lender = node.value("empty", "rest", (Empty.REFUSE, None))
+        empty, lender = node.value("empty", "rest", (EmptyCellPolicy.REFUSE, None))
         quarantine = node.one("quarantine") is not None
         if lender is not None and (lender not in names or lender == here):
             at = node.one("empty") or node
@@ -219,7 +228,7 @@
             for word in each.values["rest"]:
                 try:
                     tenants.add(word.plain(), here)
-                except BadPattern as error:
+                except PatternError as error:
                     wrong(each, str(error), "name each tenant or pattern once, in one cell", word.column)
         weight = 0.0 if quarantine else float(node.value("weight", "a number", 1))
         cell = Cell(here, (), node.value("shard", "a number", 0), weight, empty, lender, quarantine)
@@ -236,29 +245,56 @@
         block.value("drain", "a time", DRAIN),
         block.value("seed", "a number", 0),
         nameless,
-        DRAWN if others == "drawn" else others,
+        BY_WEIGHT if others == "drawn" else others,
         tuple(cells),
         tenants,
         _poison(block, cells),
         block.value("plan", "a number", 0),
-        blake2b(_written(block).encode(), digest_size=8).hexdigest(),
+        blake2b(_canonical_text(block).encode(), digest_size=8).hexdigest(),
     ), problems
 
 
-def _written(node: Node) -> str:
-    """What was read, whatever its lines look like; not where this gateway writes its moves down."""
-    values = sorted((name, repr(value)) for name, value in node.values.items())
-    inside = (_written(each) for each in node.inside if each.directive.keyword != "log")
+def _canonical_text(node: Node) -> str:
+    """Returns the text that the digest of a plan is taken of: the directives as read, whatever their layout,
+    without `log`, which may differ from gateway to gateway."""
+    values = sorted((name, _stable_repr(value)) for name, value in node.values.items())
+    inside = (_canonical_text(each) for each in node.inside if each.directive.keyword != "log")
     return f"{node.directive.keyword} {values} [{'; '.join(inside)}]"
 
 
-def _poison(block: Node, cells: Sequence[tuple[Cell, object]]) -> PoisonTerms | None:
+def _stable_repr(value: object) -> str:
+    """Returns `repr(value)` as the first release wrote it.
+
+    The digest of a plan is compared between gateways and stored in the quorum log. If it followed the names
+    of classes, a gateway of another release would refuse the same plan as a different one; so the class and
+    field names of the first release are spelled out here and stay when the classes are renamed.
+    """
+    match value:
+        case EmptyCellPolicy():
+            return f"<Empty.{value.name}: {value.value!r}>"
+        case TenantSource():
+            source = f"<Source.{value.source.name}: {value.source.value!r}>"
+            return f"TenantSource(source={source}, name={value.name!r})"
+        case EnginesText():
+            return (
+                f"EnginesText(zones={value.zones!r}, kinds={value.kinds!r}, "
+                f"list_cells={value.list_cells!r}, ids={value.ids!r}, part={value.part!r})"
+            )
+        case Word():
+            return f"Word(text={value.text!r}, kind={value.kind!r}, column={value.column!r})"
+        case tuple():
+            items = [_stable_repr(each) for each in value]
+            return f"({items[0]},)" if len(items) == 1 else f"({', '.join(items)})"
+    return repr(value)
+
+
+def _poison(block: Node, cells: Sequence[tuple[Cell, object]]) -> PoisonSettings | None:
     node = block.one("poison")
     if node is None:
         return None
     ward = next((cell.name for cell, _ in cells if cell.quarantine), None)
     values = node.values
-    return PoisonTerms(float(values["a number"]), values["a time"], values["another time"], ward)
+    return PoisonSettings(float(values["a number"]), values["a time"], values["another time"], ward)
 
 
 def unfit_cells(file: str, block: Node, text: CellsText, around: DeploymentContext) -> Iterator[Problem]:
@@ -274,7 +310,7 @@
         plan = text.plan(around.zones, around.kinds)
     except DirectiveError:
         return
-    for each in unfit(plan, around.engines, around.profiles) if around.engines else ():
+    for each in find_plan_problems(plan, around.engines, around.profiles) if around.engines else ():
         if each.grave:
             at = places.get(each.cell, block)
             what = f"cell {each.cell}: {each.what}" if each.cell else each.what
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -13,18 +13,25 @@
 
 from lotusstream import interface as api
 from lotusstream.cells.controller import (
-    AbortMove,
+    AbortMigration,
     CellAdmission,
     CellController,
-    MoveTenant,
-    NewPlan,
-    NotWritten,
-    Written,
-    moves_in,
+    MigrateTenant,
+    MigrationNotPersisted,
+    MigrationPersisted,
+    PlanReplaced,
+    recover_migrations,
 )
-from lotusstream.cells.move import Move, Step, terms
-from lotusstream.cells.plan import Cell, Empty, Engines, Plan, Source, TenantSource
-from lotusstream.cells.poison_requests import PoisonTerms
+from lotusstream.cells.migration import Migration, MigrationStep, migration_timing
+from lotusstream.cells.plan import (
+    Cell,
+    CellPlan,
+    EmptyCellPolicy,
+    EndpointSelector,
+    TenantSource,
+    TenantSourceKind,
+)
+from lotusstream.cells.poison_requests import PoisonSettings
 from lotusstream.cells.trie import NameTrie
 from lotusstream.policy import Gateway
 
@@ -38,14 +45,14 @@
 ONCE = replace(LOOKUP, idempotency=api.Idempotency.NOT_IDEMPOTENT, client_timeout=25 * S)
 BOUND = replace(LOOKUP, kinds=frozenset({1}))
 PROFILES = (LOOKUP, UNIQUED, ONCE, BOUND)
-EAST, WEST = Engines(zones=frozenset({0})), Engines(zones=frozenset({1}))
+EAST, WEST = EndpointSelector(zones=frozenset({0})), EndpointSelector(zones=frozenset({1}))
 
 
-def plan(**changes: object) -> Plan:
+def plan(**changes: object) -> CellPlan:
     cells = (Cell("east", (EAST,)), Cell("west", (WEST,)))
-    made = Plan(
+    made = CellPlan(
         1,
-        (TenantSource(Source.FIELD, "tenant"),),
+        (TenantSource(TenantSourceKind.FIELD, "tenant"),),
         cells,
         NameTrie([("uni-*", "east"), ("state", "west")]),
         "west",
@@ -55,18 +62,18 @@
 
 
 FLEET = (engine(1, kind=1), engine(2), engine(3, zone=1, kind=1), engine(4, zone=1))
-TERMS = terms(PROFILES, hold=2 * S, drain=20 * S)
+TERMS = migration_timing(PROFILES, hold=2 * S, drain=20 * S)
 
 
 class Host:
     """The module behind a keeper of cells; what is written down goes to a list, unless the disk is full."""
 
     def __init__(
-        self, of: Plan | None = None, disk: list[Move] | None = None, now: int = S,
-        poison: PoisonTerms | None = None,
+        self, of: CellPlan | None = None, disk: list[Migration] | None = None, now: int = S,
+        poison: PoisonSettings | None = None,
     ) -> None:  # fmt: skip
         self.now, self.disk, self.full = now, disk if disk is not None else [], False
-        moves = moves_in(self.disk, now).values()
+        moves = recover_migrations(self.disk, now).values()
         self.keeper = CellController(of or plan(), TERMS, PROFILES, moves, poison)
         self.refused: list[str] = []
         self.host = CellAdmission(Gateway().handle, self.keeper, self._write, self.refused.append)
@@ -81,12 +88,12 @@
                                          10 * S)))  # fmt: skip
         self.tell(api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, FLEET))
 
-    def _write(self, move: Move) -> None:
+    def _write(self, move: Migration) -> None:
         if self.full:
-            self.later.append(NotWritten(move, "the disk is full"))
+            self.later.append(MigrationNotPersisted(move, "the disk is full"))
         else:
             self.disk.append(move)
-            self.later.append(Written(move))
+            self.later.append(MigrationPersisted(move))
 
     def tell(self, *events: object) -> list[api.Action]:
         seen, self.later = len(self.log), list[object]()
@@ -139,7 +146,7 @@
         zone = {listed.id: listed.zone for listed in FLEET}
         return {zone[where] for where in self.sent.get(command, ())}
 
-    def step(self, tenant: str = "uni-a") -> Step | None:
+    def step(self, tenant: str = "uni-a") -> MigrationStep | None:
         move = self.keeper.moves.get(tenant)
         return move.step if move else None
 
@@ -162,10 +169,11 @@
 def test_a_move_takes_all_its_steps_and_writes_each_down() -> None:
     host = Host()
     host.end(host.take())
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(12 * S)
     assert [move.step for move in host.disk] == [
-        Step.PREPARED, Step.FENCED, Step.DRAINING, Step.RESTING, Step.SWITCHED, Step.DONE,
+        MigrationStep.PREPARED, MigrationStep.FENCED, MigrationStep.DRAINING,
+        MigrationStep.RESTING, MigrationStep.SWITCHED, MigrationStep.DONE,
     ]  # fmt: skip
     assert host.zones(host.take()) == {1} and host.zones(host.take("uni-b")) == {0}
 
@@ -173,33 +181,35 @@
 def test_new_commands_are_held_for_their_time_and_then_told_when_to_come_back() -> None:
     host = Host()
     running = host.take(profile=2)
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(S)
     held = host.take()
     host.pass_time(S)
     assert not host.sent.get(held) and not host.finals(held)
     host.pass_time(2 * S)
-    assert host.finals(held) == [api.RejectRequest(held, 500 * MS)] and host.step() is Step.DRAINING
+    assert host.finals(held) == [api.RejectRequest(held, 500 * MS)] and host.step() is MigrationStep.DRAINING
     host.end(running)
     host.pass_time(int(5.6 * S))
     late = host.take()
     host.pass_time(2 * S)
-    assert host.step() is Step.DONE and host.zones(late) == {1} and host.zones(running) == {0}
+    assert host.step() is MigrationStep.DONE and host.zones(late) == {1} and host.zones(running) == {0}
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.RESET, api.Outcome.TIMED_OUT, api.Outcome.CANCELLED])
 def test_what_may_have_run_before_the_fence_is_repeated_in_the_old_cell_only(outcome: api.Outcome) -> None:
     host = Host()
     load = host.take(profile=1)
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(S)
     host.end(load, outcome)
     host.pass_time(S)
     while any(command == load for command, _ in host.out):
         host.end(load, api.Outcome.RESET)
     host.pass_time(20 * S)
-    assert host.zones(load) == {0} and host.step() is Step.DONE
-    rested = [move.since for move in host.disk if move.step in (Step.RESTING, Step.SWITCHED)]
+    assert host.zones(load) == {0} and host.step() is MigrationStep.DONE
+    rested = [
+        move.since for move in host.disk if move.step in (MigrationStep.RESTING, MigrationStep.SWITCHED)
+    ]
     assert rested[1] - rested[0] >= UNIQUED.deduplication_window
 
 
@@ -208,28 +218,28 @@
     load = host.take(profile=1)
     host.tell(api.ClientDisconnected(load))  # its reply is lost, and it may have run
     host.end(load, api.Outcome.CANCELLED)
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(int(4.9 * S))  # while the engines of the old cell still remember its mark
     repeat = host.take(profile=1)
     host.pass_time(10 * S)
-    assert host.step() is Step.DONE
+    assert host.step() is MigrationStep.DONE
     assert not host.sent.get(repeat) and [type(each) for each in host.finals(repeat)] == [api.RejectRequest]
 
 
 def test_a_send_that_never_ends_undoes_the_move_in_bounded_time() -> None:
     host = Host()
     host.take(profile=2)
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(24 * S)
-    assert host.step() is Step.UNDONE and "no outcome in time" in host.disk[-1].why
+    assert host.step() is MigrationStep.UNDONE and "no outcome in time" in host.disk[-1].why
     assert host.zones(host.take()) == {0}
 
 
 def test_a_target_whose_last_engine_of_a_kind_dies_half_way_undoes_the_move() -> None:
     host = Host()
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(3 * S)
-    assert host.step() is Step.RESTING
+    assert host.step() is MigrationStep.RESTING
     held = host.take(profile=3)
     host.tell(
         api.EndpointListReceived(
@@ -237,83 +247,89 @@
         )
     )
     host.pass_time(S)
-    assert host.step() is Step.UNDONE and host.zones(held) == {0}
-    host.tell(MoveTenant("uni-a", "west", "again"))
+    assert host.step() is MigrationStep.UNDONE and host.zones(held) == {0}
+    host.tell(MigrateTenant("uni-a", "west", "again"))
     assert "can't take 'uni-a'" in host.refused[-1]
 
 
 def test_an_abort_while_resting_lets_the_held_go_where_they_were() -> None:
     host = Host()
-    host.tell(MoveTenant("uni-a", "west", "by hand"))
+    host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(3 * S)
     held = host.take()
-    host.tell(AbortMove("uni-a", "by hand"))
+    host.tell(AbortMigration("uni-a", "by hand"))
     host.pass_time(S)
-    assert host.step() is Step.UNDONE and host.zones(held) == {0}
+    assert host.step() is MigrationStep.UNDONE and host.zones(held) == {0}
 
 
 def test_moves_that_make_no_sense_are_refused_with_their_reason() -> None:
     host = Host()
     for event, why in (
-        (MoveTenant("uni-a", "east", ""), "is in 'east' already"),
-        (MoveTenant("uni-a", "north", ""), "no such cell"),
-        (AbortMove("uni-a", ""), "is not being moved"),
+        (MigrateTenant("uni-a", "east", ""), "is in 'east' already"),
+        (MigrateTenant("uni-a", "north", ""), "no such cell"),
+        (AbortMigration("uni-a", ""), "is not being moved"),
     ):
         host.tell(event)
         assert why in host.refused[-1]
-    host.tell(MoveTenant("uni-a", "west", ""))
-    host.tell(MoveTenant("uni-a", "east", ""))
+    host.tell(MigrateTenant("uni-a", "west", ""))
+    host.tell(MigrateTenant("uni-a", "east", ""))
     assert len(host.refused) == 4  # one move at a time
-    host.tell(MoveTenant("state", "east", ""))  # two that cross are two tenants' own
+    host.tell(MigrateTenant("state", "east", ""))  # two that cross are two tenants' own
     host.pass_time(12 * S)
-    assert (host.step(), host.step("state")) == (Step.DONE, Step.DONE)
+    assert (host.step(), host.step("state")) == (MigrationStep.DONE, MigrationStep.DONE)
     assert host.zones(host.take("state")) == {0} and host.zones(host.take()) == {1}
 
 
 def test_a_full_disk_stops_moves_and_not_service() -> None:
     host = Host()
-    host.tell(MoveTenant("uni-a", "west", ""))
+    host.tell(MigrateTenant("uni-a", "west", ""))
     host.pass_time(3 * S)
     host.full = True
     held = host.take()
     host.pass_time(8 * S)
-    assert host.step() is Step.UNDONE and host.finals(held) and host.zones(host.take()) == {0}
+    assert host.step() is MigrationStep.UNDONE and host.finals(held) and host.zones(host.take()) == {0}
 
 
 @pytest.mark.parametrize("writes", range(7))
 def test_after_a_crash_at_any_written_step_the_move_is_undone_or_ends(writes: int) -> None:
     host = Host()
-    host.tell(MoveTenant("uni-a", "west", ""))
+    host.tell(MigrateTenant("uni-a", "west", ""))
     host.pass_time(12 * S)
     again = Host(disk=host.disk[:writes], now=host.now + S)
-    assert again.step() in (None, Step.UNDONE, Step.DONE)
+    assert again.step() in (None, MigrationStep.UNDONE, MigrationStep.DONE)
     assert again.zones(again.take()) == ({1} if writes >= 5 else {0})
 
 
 def test_a_plan_that_drops_the_target_in_mid_move_undoes_it() -> None:
     host = Host()
-    host.tell(MoveTenant("uni-a", "west", ""))
+    host.tell(MigrateTenant("uni-a", "west", ""))
     host.pass_time(3 * S)
     host.tell(
-        NewPlan(plan(cells=(Cell("east", (EAST, WEST)),), tenants=NameTrie([("*", "east")]), nameless="east"))
+        PlanReplaced(
+            plan(cells=(Cell("east", (EAST, WEST)),), tenants=NameTrie([("*", "east")]), nameless="east")
+        )
     )
     host.pass_time(S)
-    assert host.step() is Step.UNDONE and host.sent[host.take()]
+    assert host.step() is MigrationStep.UNDONE and host.sent[host.take()]
 
 
 def test_a_plan_that_puts_a_tenant_elsewhere_moves_it_where_marks_may_be_remembered() -> None:
     host = Host()
     for tenant, profile in (("uni-a", 1), ("uni-b", 0)):
         host.end(host.take(tenant, profile))
-    host.tell(NewPlan(plan(tenants=NameTrie([("uni-*", "west")]))))
+    host.tell(PlanReplaced(plan(tenants=NameTrie([("uni-*", "west")]))))
     assert host.zones(host.take("uni-b")) == {1} and host.step("uni-b") is None
     assert host.keeper.plan.home("uni-a") == "east" and host.step("uni-a") is not None
     host.pass_time(12 * S)
-    assert host.step("uni-a") is Step.DONE and host.zones(host.take("uni-a")) == {1}
+    assert host.step("uni-a") is MigrationStep.DONE and host.zones(host.take("uni-a")) == {1}
 
 
 def test_what_carries_a_mark_is_not_sent_to_a_lender_whose_engines_do_not_know_it() -> None:
-    host = Host(plan(cells=(Cell("east", (EAST,), empty=Empty.BORROW, lender="west"), Cell("west", (WEST,)))))
+    host = Host(
+        plan(
+            cells=(Cell("east", (EAST,), empty=EmptyCellPolicy.BORROW, lender="west"), Cell("west", (WEST,)))
+        )
+    )
     gone = tuple(replace(each, status=api.EndpointStatus.REMOVED) for each in FLEET[:2])
     host.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, gone))
     marked = host.take(profile=1)
@@ -324,7 +340,7 @@
     gone = tuple(replace(each, status=api.EndpointStatus.REMOVED) for each in FLEET[:2])
     for cell, answered in (
         (Cell("east", (EAST,)), False),
-        (Cell("east", (EAST,), empty=Empty.BORROW, lender="west"), True),
+        (Cell("east", (EAST,), empty=EmptyCellPolicy.BORROW, lender="west"), True),
     ):
         host = Host(plan(cells=(cell, Cell("west", (WEST,)))))
         host.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, gone))
@@ -354,7 +370,7 @@
 def test_a_tenant_that_kills_engines_goes_to_quarantine_or_is_refused_and_comes_back(ward: bool) -> None:
     cells = (Cell("east", (EAST,)), Cell("ward", (WEST,), quarantine=True))
     made = plan(cells=cells, tenants=NameTrie([("*", "east")]), nameless="east")
-    host = Host(made, poison=PoisonTerms(4.0, 20 * S, 30 * S, "ward" if ward else None))
+    host = Host(made, poison=PoisonSettings(4.0, 20 * S, 30 * S, "ward" if ward else None))
     for _ in range(6):
         kills, beside = host.take("uni-bad", profile=2), host.take("uni-good", profile=2)
         for command, outcome in ((kills, api.Outcome.ERROR), (beside, api.Outcome.ANSWERED)):
@@ -364,7 +380,7 @@
     assert host.keeper.standing().poisoned == ("uni-bad",)
     if ward:
         host.pass_time(10 * S)
-        assert host.step("uni-bad") is Step.DONE and "poison: blame" in host.disk[0].why
+        assert host.step("uni-bad") is MigrationStep.DONE and "poison: blame" in host.disk[0].why
         in_ward = host.take("uni-bad")
         assert host.zones(in_ward) == {1} and host.zones(host.take("uni-good")) == {0}
         host.end(in_ward)
@@ -427,12 +443,12 @@
 
     @rule(tenant=st.sampled_from(["uni-a", "state"]), goal=st.sampled_from(["east", "west"]))
     def is_moved(self, tenant: str, goal: str) -> None:
-        self.host.tell(MoveTenant(tenant, goal, ""))
+        self.host.tell(MigrateTenant(tenant, goal, ""))
         self._note()
 
     @rule(tenant=st.sampled_from(["uni-a", "state"]))
     def is_aborted(self, tenant: str) -> None:
-        self.host.tell(AbortMove(tenant, ""))
+        self.host.tell(AbortMigration(tenant, ""))
         self._note()
 
     @rule(full=st.booleans())
--- a/tests/cells/test_poison.py
+++ b/tests/cells/test_poison.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from lotusstream import interface as api
-from lotusstream.cells.fault_attribution import FaultAttribution
-from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonTerms
+from lotusstream.cells.heavy_hitters import HeavyHitters
+from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonSettings
 
-TERMS = PoisonTerms(bound=5.0, half_life=30 * S, stay=60 * S, cell="ward")
+TERMS = PoisonSettings(bound=5.0, half_life=30 * S, stay=60 * S, cell="ward")
 ENGINES = [bytes([n] * 6) for n in range(4)]
 
 
@@ -68,7 +68,7 @@
 def test_blame_is_never_less_than_certain_nor_more_than_most_and_takes_bounded_memory(
     who: list[int], most: int
 ) -> None:
-    blame, true = FaultAttribution(most, 10 * S), dict[str, float]()
+    blame, true = HeavyHitters(most, 10 * S), dict[str, float]()
     for at, each in enumerate(who):
         now, tenant = at * S, str(each)
         blame.add(now, tenant, 1.0)
@@ -82,7 +82,7 @@
 
 
 def test_blame_fades_over_years_without_losing_its_order() -> None:
-    blame = FaultAttribution(10, S)
+    blame = HeavyHitters(10, S)
     for at in range(5000):
         blame.add(at * S, "old" if at < 10 else "new", 1.0)
     assert blame.of(5000 * S, "old").most < 1e-9 and 0.9 < blame.of(4999 * S, "new").certain < 2.1
--- a/tests/cells/test_trie.py
+++ b/tests/cells/test_trie.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotusstream.cells.trie import BadPattern, NameTrie
+from lotusstream.cells.trie import NameTrie, PatternError
 
 
 def test_the_most_specific_entry_wins() -> None:
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("entry", ["", "x" * 257, "a*b*c*d*e*f", "twice"])
 def test_an_entry_that_can_not_be_is_turned_down(entry: str) -> None:
-    with pytest.raises(BadPattern):
+    with pytest.raises(PatternError):
         NameTrie([("twice", 1)]).add(entry, 2)
 
 
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lotusstream.cells.move import Move, Step
+from lotusstream.cells.migration import Migration, MigrationStep
 from lotusstream.copies import messages as copies
 from lotusstream.copies.messages import Held
 from lotusstream.copies.shards import Holder, Place
@@ -20,7 +20,7 @@
 from lotusstream.leases import table as leases
 from lotusstream.net.copies import _RECORDS as COPY_RECORD_DECODER
 from lotusstream.net.copies import Identity as CopiesIdentity
-from lotusstream.net.moves import _STEPS as MOVE_DECODER
+from lotusstream.net.migrations import _STEPS as MOVE_DECODER
 from lotusstream.net.raft_node import _RECORDS as QUORUM_RECORD_DECODER
 from lotusstream.protocol import control, peers
 from lotusstream.quorum import messages as quorum
@@ -191,15 +191,15 @@
 # Moves
 
 MOVES = {
-    step.value: Move("uni-a", "east", "west", step, 1_000_000, 2_000_000, "by hand")
+    step.value: Migration("uni-a", "east", "west", step, 1_000_000, 2_000_000, "by hand")
     for step in (
-        Step.PREPARED,
-        Step.FENCED,
-        Step.DRAINING,
-        Step.RESTING,
-        Step.SWITCHED,
-        Step.DONE,
-        Step.UNDONE,
+        MigrationStep.PREPARED,
+        MigrationStep.FENCED,
+        MigrationStep.DRAINING,
+        MigrationStep.RESTING,
+        MigrationStep.SWITCHED,
+        MigrationStep.DONE,
+        MigrationStep.UNDONE,
     )
 }
 
--- a/tests/golden/test_golden_ctl.py
+++ b/tests/golden/test_golden_ctl.py
@@ -10,7 +10,7 @@
 from golden_data import FOLDER, read_lines
 
 import lotusstream
-from lotusstream.cells.move import Step
+from lotusstream.cells.migration import MigrationStep
 from lotusstream.interface import Outcome, RejectionReason
 from lotusstream.quorum import node
 
@@ -58,7 +58,7 @@
     told = {
         "outcome": [f"{outcome.value} {outcome.name.lower()}" for outcome in Outcome],
         "reason": [f"{reason.value} / {reason.name.lower()}" for reason in RejectionReason],
-        "step": [step.value for step in Step],
+        "step": [step.value for step in MigrationStep],
         "role": list(roles),
     }
     lines = [f"{kind}: {value}" for kind, values in told.items() for value in values]
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -12,12 +12,12 @@
 
 import pytest
 from golden_data import STORED
-from golden_messages import HOLDINGS, Held, Kind, Move, Place, Step, copies, leases, quorum
+from golden_messages import HOLDINGS, Held, Kind, Migration, MigrationStep, Place, copies, leases, quorum
 from golden_stores import FOUNDERS, LEARNER, MADE, write_log
 
 from lotusstream.net.copies import _ASSIGNED as ASSIGNED_DECODER
 from lotusstream.net.copies import CopyStore
-from lotusstream.net.moves import read_moves
+from lotusstream.net.migrations import read_moves
 from lotusstream.net.raft_node import open_store
 from lotusstream.quorum.replicated_log import Journal
 from lotusstream.wal.log import Log
@@ -27,7 +27,9 @@
     quorum.Member("g2", "g2-f0d9b5474fec"),
     quorum.Member("g3", "g3-ed64621646b8"),
 )
-MOVED = Move("uni-a", "east", "west", Step.DONE, 1_796_281_588_592_928, 1_796_281_573_076_136, "by hand")
+MOVED = Migration(
+    "uni-a", "east", "west", MigrationStep.DONE, 1_796_281_588_592_928, 1_796_281_573_076_136, "by hand"
+)
 LOGS = [path for path in sorted(STORED.rglob("*")) if path.is_file()]
 
 
