--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -24,8 +24,8 @@
 from lotusstream.lab.fleet.schedule import drawn, write
 from lotusstream.lab.virtual import Scene, play
 from lotusstream.lab.world import Broken
-from lotusstream.leases.granter import LeaseTerms
-from lotusstream.leases.table import Acquire, encode_wish
+from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.table import AcquireLease, encode_operation
 from lotusstream.net.actor import Supervisor
 from lotusstream.wal.log import Log
 
@@ -144,7 +144,7 @@
         for relay in relays.values():
             await relay.start()
         ports = {name: relay.port for name, relay in relays.items()}
-        supervisor, terms = Supervisor(), LeaseTerms(10 * US, 1_250_000, 0.02)
+        supervisor, terms = Supervisor(), LeaseTiming(10 * US, 1_250_000, 0.02)
         askers = [Asker(f"c{at}", rig.group, ports, "one", terms, supervisor) for at in range(count)]
         for asker in askers:
             asker.start()
@@ -163,7 +163,7 @@
 
 def syncs(entries: int) -> dict[str, Any]:
     """Grants written down by one sync for each, and by one for as many as have come meanwhile."""
-    payloads = [encode_wish(Acquire("moves", f"g{at}", "s", at + 1)) for at in range(entries)]
+    payloads = [encode_operation(AcquireLease("moves", f"g{at}", "s", at + 1)) for at in range(entries)]
     rates = {}
     for batch in (1, 50):
         with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -12,11 +12,11 @@
 from lotusstream.lab.virtual import Scene, play
 from lotusstream.lab.world import Broken
 from lotusstream.leases import holder, table
-from lotusstream.leases.granter import Granter, LeaseTerms
+from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
 from lotusstream.quorum.node import RaftNode
-from lotusstream.quorum.replicated_log import Journal
+from lotusstream.quorum.replicated_log import ReplicatedLog
 
 SCENE = Scene()
 
@@ -42,22 +42,22 @@
 
 def _from_the_reply() -> Any:
     """The holder counts its time from when the answer came."""
-    answered = holder.Holder._answered
+    answered = holder.LeaseHolder._answered
 
-    def late(self: holder.Holder, event: holder.Answered) -> None:
+    def late(self: holder.LeaseHolder, event: holder.LeaseReplyReceived) -> None:
         for each in self._tasks.values():
             if each.ask == event.ask:
                 each.asked = self._now
         answered(self, event)
 
-    return mock.patch.object(holder.Holder, "_answered", late)
+    return mock.patch.object(holder.LeaseHolder, "_answered", late)
 
 
 def _no_margin() -> Any:
     """Holders act to the very end of the lease by their own clock."""
     make = virtual.VirtualFleet._holder
 
-    def full(self: virtual.VirtualFleet, node: virtual.HolderNode) -> holder.Holder:
+    def full(self: virtual.VirtualFleet, node: virtual.HolderNode) -> holder.LeaseHolder:
         made = make(self, node)
         made._terms = replace(self.scene.terms, margin=0)
         return made
@@ -86,10 +86,10 @@
         self.down(node)
         node.disk = virtual.VirtualDisk()
         founders = ms.Snapshot(0, 0, first.group, first.members)
-        node.disk.synced = [ms.Identity(keeper.disk), ms.Whole(founders)]
+        node.disk.synced = [ms.IncarnationRecord(keeper.disk), ms.SnapshotRecord(founders)]
         self.back(node, 100_000)
 
-    trusting = mock.patch("lotusstream.quorum.node.older_copy", lambda mine, heard: False)
+    trusting = mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(virtual.VirtualFleet, "_fault_wipe", wiped))
     stack.enter_context(trusting)
@@ -97,14 +97,14 @@
 
 
 def _older_copy_votes() -> Any:
-    return mock.patch("lotusstream.quorum.node.older_copy", lambda mine, heard: False)
+    return mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
 
 
 def _stale_read() -> Any:
     """A leader answers reads without asking whether it still leads."""
 
     def serve(self: RaftNode) -> None:
-        self._out += [ev.Ready(reading.ticket) for reading in self._readings]
+        self._out += [ev.CompleteRequest(reading.ticket) for reading in self._readings]
         self._readings = []
 
     return mock.patch.object(RaftNode, "_serve_readings", serve)
@@ -124,15 +124,17 @@
 
 def _renewals_unseen() -> Any:
     """The leader runs a lease out though it was renewed meanwhile."""
-    due = Granter.due
+    due = LeaseExpiryTracker.due
 
-    def deaf(self: Granter, now: int, term: int, leases: table.LeaseTable) -> list[table.Expire]:
+    def deaf(
+        self: LeaseExpiryTracker, now: int, term: int, leases: table.LeaseTable
+    ) -> list[table.ExpireLease]:
         for task, seen in self._seen.items():
             if (lease := leases.leases.get(task)) is not None and lease.token == seen.token:
                 seen.renewed = lease.renewed
         return due(self, now, term, leases)
 
-    return mock.patch.object(Granter, "due", deaf)
+    return mock.patch.object(LeaseExpiryTracker, "due", deaf)
 
 
 def _no_log_check() -> Any:
@@ -148,14 +150,14 @@
 
 def _cut_is_forgotten() -> Any:
     """Entries that conflict with the leader's stay where they are."""
-    return mock.patch.object(Journal, "cut", lambda self, first: None)
+    return mock.patch.object(ReplicatedLog, "cut", lambda self, first: None)
 
 
 HARD = replace(SCENE, faults=("crash", "cut", "one-way", "disk"), fault_every=400_000, loss=0.05)
 CROWD = replace(
     SCENE,
     holders=10,
-    terms=LeaseTerms(2_000_000, 200_000, 0.05),
+    terms=LeaseTiming(2_000_000, 200_000, 0.05),
     faults=("stop", "one-way", "cut"),
     fault_every=300_000,
     slow=0.2,
--- a/lotusstream/copies/shard_controller.py
+++ b/lotusstream/copies/shard_controller.py
@@ -11,7 +11,7 @@
 
 from lotusstream.copies.messages import Assigned
 from lotusstream.copies.shards import SHARDS, Holder, Place, placed
-from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.granter import LeaseTiming
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
     copies: int
     promise: int
-    leases: LeaseTerms
+    leases: LeaseTiming
     pace: int = 4
     shards: int = SHARDS
     part: int = 256 << 10
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -20,12 +20,12 @@
 from lotusstream.copies.shard_controller import CopyTerms, ShardController
 from lotusstream.copies.shards import Holder, Place
 from lotusstream.lab.world import MS, Node, S, Span, World
-from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.granter import LeaseTiming
 
 FAILED = b"may have run"
 ONCE = "once"  # the end of keys whose commands may run once only
 TERMS = CopyTerms(
-    3, 2, LeaseTerms(1 * S, 125 * MS, 0.05), 2, 4, 300, rate=100_000, scrub=4 * RANGES * 100 * MS
+    3, 2, LeaseTiming(1 * S, 125 * MS, 0.05), 2, 4, 300, rate=100_000, scrub=4 * RANGES * 100 * MS
 )  # fmt: skip
 
 
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -19,7 +19,7 @@
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
 from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
-from lotusstream.quorum.replicated_log import OnDisk
+from lotusstream.quorum.replicated_log import PersistedState
 
 PACE = RaftTiming(100, 1000)
 NAMES = ("a", "b", "c")
@@ -39,7 +39,7 @@
 @dataclass(slots=True)
 class World:
     keepers: list[RaftNode]
-    disks: list[list[ms.Record]]
+    disks: list[list[ms.RaftRecord]]
     nows: list[int]
     flying: list[bytes]
     left: Scope
@@ -57,15 +57,16 @@
 
 def begun(scope: Scope) -> World:
     members = tuple(ms.Member(name, f"d{name}") for name in NAMES)
-    disks: list[list[ms.Record]] = [
-        [ms.Identity(f"d{name}"), ms.Whole(ms.Snapshot(0, 0, "g", members))] for name in NAMES
+    disks: list[list[ms.RaftRecord]] = [
+        [ms.IncarnationRecord(f"d{name}"), ms.SnapshotRecord(ms.Snapshot(0, 0, "g", members))]
+        for name in NAMES
     ]
     keepers = [_begun(name, disk) for name, disk in zip(NAMES, disks, strict=True)]
     return World(keepers, disks, [0, 0, 0], [], scope, {}, {})
 
 
-def _begun(name: str, disk: list[ms.Record]) -> RaftNode:
-    keeper = RaftNode(name, OnDisk(disk), "", NAMES, PACE, 1, 0)
+def _begun(name: str, disk: list[ms.RaftRecord]) -> RaftNode:
+    keeper = RaftNode(name, PersistedState(disk), "", NAMES, PACE, 1, 0)
     keeper._proven = True  # that its disk is no older copy is not what is looked at here
     return keeper
 
@@ -118,7 +119,7 @@
         match kind:
             case "deliver":
                 envelope = _ENVELOPES.decode(world.flying.pop(at))
-                self._tell(world, NAMES.index(envelope.to), ev.Received(envelope))
+                self._tell(world, NAMES.index(envelope.to), ev.MessageReceived(envelope))
             case "lose":
                 world.left = replace(world.left, losses=world.left.losses - 1)
                 lost = _line(world.flying[at])
@@ -126,35 +127,35 @@
             case "time-out":
                 world.left = replace(world.left, timeouts=world.left.timeouts - 1)
                 world.nows[at] += 10 * PACE.election
-                self._tell(world, at, ev.Tick())
+                self._tell(world, at, ev.RaftTimeAdvanced())
             case "propose":
                 world.left = replace(world.left, proposals=world.left.proposals - 1)
-                self._tell(world, at, ev.Propose(1, b"x"))
+                self._tell(world, at, ev.ProposalSubmitted(1, b"x"))
             case _:
                 world.left = replace(world.left, crashes=world.left.crashes - 1)
                 if kind == "crash-unsaved" and world.flying:
                     # as if it had ended before the sync of its next word: that word was never said
                     envelope = _ENVELOPES.decode(world.flying[-1])
-                    self._tell(world, NAMES.index(envelope.to), ev.Received(envelope), saves=False)
+                    self._tell(world, NAMES.index(envelope.to), ev.MessageReceived(envelope), saves=False)
                 world.nows[at] = 0
                 world.keepers[at] = _begun(NAMES[at], world.disks[at])
 
-    def _tell(self, world: World, at: int, event: ev.Event, saves: bool = True) -> None:
+    def _tell(self, world: World, at: int, event: ev.RaftEvent, saves: bool = True) -> None:
         keeper = world.keepers[at]
         todo: deque[Any] = deque(keeper.handle(world.nows[at], event))
         while todo:
             match todo.popleft():
-                case ev.Save(number, records, rewrite):
+                case ev.PersistRecords(number, records, rewrite):
                     if not saves:
                         world.keepers[at] = _begun(NAMES[at], world.disks[at])
                         return
                     world.disks[at] = [*([] if rewrite else world.disks[at]), *records]
-                    todo += keeper.handle(world.nows[at], ev.Persisted(number))
-                case ev.Say(envelope) if not isinstance(envelope.body, ms.Hello | ms.Heard):
+                    todo += keeper.handle(world.nows[at], ev.RecordsPersisted(number))
+                case ev.SendMessage(envelope) if not isinstance(envelope.body, ms.JoinRequest | ms.JoinReply):
                     word = msgspec.msgpack.encode(envelope)
                     if word not in world.flying:
                         world.flying.append(word)
-                case ev.Apply(index, kind, data, _):
+                case ev.ApplyEntry(index, kind, data, _):
                     told = bytes([kind]) + data
                     if world.applied.setdefault(index, told) != told:
                         raise Broken(f"{keeper.name} applied something else at {index}")
@@ -178,7 +179,7 @@
         return msgspec.msgpack.encode((keepers, sorted(world.flying, key=_line), bounds))
 
 
-_ENVELOPES: msgspec.msgpack.Decoder[ms.Envelope] = msgspec.msgpack.Decoder(ms.Envelope)
+_ENVELOPES: msgspec.msgpack.Decoder[ms.RaftEnvelope] = msgspec.msgpack.Decoder(ms.RaftEnvelope)
 
 
 def _line(word: bytes) -> tuple[str, str]:
--- a/lotusstream/lab/fleet/idempotency_client.py
+++ b/lotusstream/lab/fleet/idempotency_client.py
@@ -10,7 +10,7 @@
 from lotusstream.copies.messages import Held, Holding
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.peers import Answer, PeerLimits, PeerLink
+from lotusstream.net.peers import PeerLimits, PeerLink, ReplyCallback
 from lotusstream.protocol import peers as wire
 
 US = 1_000_000
@@ -23,7 +23,7 @@
     def __init__(self, rig: FleetRig) -> None:
         self._rig, self._supervisor = rig, Supervisor()
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[wire.Kept]] = {}
+        self._waiting: dict[int, asyncio.Future[wire.CommitmentReply]] = {}
         self._links: dict[str, PeerLink] = {}
         self.home = ""  # who kept the last one
 
@@ -38,18 +38,18 @@
     async def __aexit__(self, *_: object) -> None:
         await self._supervisor.stop()
 
-    def _told(self, frame: wire.AnyFrame, _sender: str, _answer: Answer) -> None:
-        if isinstance(frame, wire.Kept):
+    def _told(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
+        if isinstance(frame, wire.CommitmentReply):
             waiting = self._waiting.pop(frame.number, None)
             if waiting is not None and not waiting.done():
                 waiting.set_result(frame)
 
-    async def once(self, name: str, holding: Holding) -> wire.Kept | None:
+    async def once(self, name: str, holding: Holding) -> wire.CommitmentReply | None:
         """What this holder says, or None."""
         number = next(self._numbers)
-        waiting: asyncio.Future[wire.Kept] = asyncio.get_running_loop().create_future()
+        waiting: asyncio.Future[wire.CommitmentReply] = asyncio.get_running_loop().create_future()
         self._waiting[number] = waiting
-        self._links[name].put(wire.Keep(number, holding.state is Held.ANSWERED, holding))
+        self._links[name].put(wire.CommitmentRequest(number, holding.state is Held.ANSWERED, holding))
         with contextlib.suppress(TimeoutError):
             return await asyncio.wait_for(waiting, ANSWER)
         self._waiting.pop(number, None)
@@ -59,7 +59,7 @@
         state = Held.ANSWERED if answer else Held.SENT
         return Holding(key, "p", state, by, int((time.time() + lasts) * US), answer)
 
-    async def keep(self, holding: Holding, within: float = 20.0, but: str = "") -> wire.Kept:
+    async def keep(self, holding: Holding, within: float = 20.0, but: str = "") -> wire.CommitmentReply:
         """Until some home has promised it or knows it. `but`: not to be asked."""
         async with asyncio.timeout(within):
             for name in itertools.cycle(each for each in self._rig.holders if each != but):
--- a/lotusstream/lab/fleet/lock_clients.py
+++ b/lotusstream/lab/fleet/lock_clients.py
@@ -6,11 +6,11 @@
 import uuid
 
 from lotusstream.leases import holder as hold
-from lotusstream.leases.granter import LeaseTerms
-from lotusstream.leases.service import FREED
+from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.service import LEASE_FREED_NUMBER
 from lotusstream.net import clock
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.peers import Answer, PeerLimits, PeerLink
+from lotusstream.net.peers import PeerLimits, PeerLink, ReplyCallback
 from lotusstream.protocol import peers as wire
 
 US = 1_000_000
@@ -23,12 +23,12 @@
         group: str,
         keepers: dict[str, int],
         task: str,
-        terms: LeaseTerms,
+        terms: LeaseTiming,
         supervisor: Supervisor,
     ) -> None:
         """`keepers`: their ports here, by name."""
         self.name, self.task = name, task
-        self.holder = hold.Holder(name, uuid.uuid4().hex, sorted(keepers), terms, 1)
+        self.holder = hold.LeaseHolder(name, uuid.uuid4().hex, sorted(keepers), terms, 1)
         manners = PeerLimits(group, name, US, 4)
         self._links = {
             keeper: PeerLink(keeper, ("127.0.0.1", port), manners, 3 * terms.length, self._told, supervisor)
@@ -41,30 +41,30 @@
     def start(self) -> None:
         for link in self._links.values():
             link.start()
-        self.tell(hold.Want(self.task))
+        self.tell(hold.LeaseWanted(self.task))
 
     @property
     def token(self) -> int:
         """Under which it may act at this moment."""
         return self.holder.may_act(clock.boot_clock(), self.task)
 
-    def tell(self, event: hold.Event) -> None:
+    def tell(self, event: hold.LeaseHolderEvent) -> None:
         for action in self.holder.handle(clock.boot_clock(), event):
-            if isinstance(action, hold.Ask):
-                self._links[action.keeper].put(wire.Ask(action.number, action.wish))
-            elif isinstance(action, hold.Begin):
+            if isinstance(action, hold.SendLeaseOperation):
+                self._links[action.keeper].put(wire.LeaseOperationRequest(action.number, action.wish))
+            elif isinstance(action, hold.StartTask):
                 self.begun.set()
         if self._timer is not None:
             self._timer.cancel()
         pause = max(1000, self.holder.next_at - clock.boot_clock())
-        self._timer = asyncio.get_running_loop().call_later(pause / US, self.tell, hold.Tick())
+        self._timer = asyncio.get_running_loop().call_later(pause / US, self.tell, hold.LeaseTimeAdvanced())
 
-    def _told(self, frame: wire.AnyFrame, _sender: str, _answer: Answer) -> None:
-        if isinstance(frame, wire.Told) and frame.number == FREED:
-            self.tell(hold.Freed(self.task))
-        elif isinstance(frame, wire.Told):
+    def _told(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
+        if isinstance(frame, wire.QuorumReply) and frame.number == LEASE_FREED_NUMBER:
+            self.tell(hold.LeaseFreed(self.task))
+        elif isinstance(frame, wire.QuorumReply):
             self.answers += 1
-            self.tell(hold.Answered(frame.number, frame.granted, frame.leader))
+            self.tell(hold.LeaseReplyReceived(frame.number, frame.granted, frame.leader))
 
     def stop(self) -> None:
         if self._timer is not None:
--- a/lotusstream/lab/fleet/process.py
+++ b/lotusstream/lab/fleet/process.py
@@ -138,8 +138,8 @@
 
 def main() -> None:
     folder = Path(sys.argv[1])
-    directives.TASKS[WITNESS] = "acts that the rig's witness takes down"
-    tasks.MAKERS[WITNESS] = lambda around: WitnessTask(around, folder / "between")
+    directives.TASK_DESCRIPTIONS[WITNESS] = "acts that the rig's witness takes down"
+    tasks.TASK_FACTORIES[WITNESS] = lambda around: WitnessTask(around, folder / "between")
     bent = LabClock(folder / "clock")
     clock.boot_clock = bent
     raft_node.make_disk = lambda: LabDisk(folder / "disk")
--- a/lotusstream/lab/fleet/rig.py
+++ b/lotusstream/lab/fleet/rig.py
@@ -37,9 +37,14 @@
 
 def _profile(name: str, effect: str) -> dict[str, Any]:
     return {
-        "name": name, "aim": 2_000_000, "deadline": 6_000_000, "effect": effect, "gain": 1.0, "group": "zone",
+        "name": name,
+        "aim": 2_000_000,
+        "deadline": 6_000_000,
+        "effect": effect,
+        "gain": 1.0,
+        "group": "zone",
         "window": 15_000_000,
-    }  # fmt: skip
+    }
 
 
 def settings() -> dict[str, Any]:
@@ -166,10 +171,18 @@
         if self.program is not None:
             environment["PYTHONPATH"] = str(self.program)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lotusstream.lab.fleet.process", str(self.folder), "serve", *words,
-            stderr=asyncio.subprocess.PIPE, stdin=asyncio.subprocess.DEVNULL, env=environment,
-            start_new_session=True, cwd=self.program,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "lotusstream.lab.fleet.process",
+            str(self.folder),
+            "serve",
+            *words,
+            stderr=asyncio.subprocess.PIPE,
+            stdin=asyncio.subprocess.DEVNULL,
+            env=environment,
+            start_new_session=True,
+            cwd=self.program,
+        )
         self._reading = asyncio.create_task(self._read(self.process))
 
     async def ready(self) -> None:
@@ -253,11 +266,18 @@
     """`async with FleetRig(...)`: started on entering, gone on leaving."""
 
     def __init__(
-        self, gateways: int = 3, keepers: int = 3, *, seed: int = 1, tasks: tuple[str, ...] = (WITNESS,),
+        self,
+        gateways: int = 3,
+        keepers: int = 3,
+        *,
+        seed: int = 1,
+        tasks: tuple[str, ...] = (WITNESS,),
         directives: tuple[str, ...] = ("heartbeat 60ms", "election 400ms", "lease 2s", "drift 5%"),
-        more: tuple[str, ...] = (), holders: bool = False, engines: int = 0,
+        more: tuple[str, ...] = (),
+        holders: bool = False,
+        engines: int = 0,
         tell: Callable[[str], None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`engines`: stand-ins for them, in zones one after the other. `tell`: gets the story, a line at a
         time."""
         self.seed, self.tasks, self.directives, self.more = seed, tasks, directives, more
--- a/lotusstream/lab/fleet/run.py
+++ b/lotusstream/lab/fleet/run.py
@@ -194,9 +194,15 @@
     rig = FleetRig(schedule.gateways, schedule.keepers, seed=schedule.seed, tell=tell)
     if schedule.customers:
         rig = FleetRig(
-            schedule.gateways, schedule.keepers, seed=schedule.seed, tasks=(WITNESS, "copies"),
-            directives=directives, holders=True, engines=ENGINES, tell=tell,
-        )  # fmt: skip
+            schedule.gateways,
+            schedule.keepers,
+            seed=schedule.seed,
+            tasks=(WITNESS, "copies"),
+            directives=directives,
+            holders=True,
+            engines=ENGINES,
+            tell=tell,
+        )
     async with rig:
         try:
             async with asyncio.timeout(AFTERWARDS):
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -13,16 +13,23 @@
 
 from lotusstream.lab.world import MS, Broken, Node, S, Span, World
 from lotusstream.leases import holder as hold
-from lotusstream.leases.granter import LeaseTerms
-from lotusstream.leases.service import FREED, Asked, LeaseService, LookedUp, Passed, Reply
-from lotusstream.leases.table import Granted
+from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.service import (
+    LEASE_FREED_NUMBER,
+    LeaseHolderChanged,
+    LeaseOperationReceived,
+    LeaseService,
+    LeaseServiceReply,
+    LeaseTableReadReceived,
+)
+from lotusstream.leases.table import LeaseResult
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.messages import Record
+from lotusstream.quorum.messages import RaftRecord
 from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
-from lotusstream.quorum.replicated_log import OnDisk
+from lotusstream.quorum.replicated_log import PersistedState
 
 PACE = RaftTiming(100 * MS, 400 * MS, batch=300, kept=25)
-TERMS = LeaseTerms(2 * S, 250 * MS, 0.05)
+TERMS = LeaseTiming(2 * S, 250 * MS, 0.05)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,10 +40,18 @@
     holders: int = 3
     tasks: tuple[str, ...] = ("moves",)
     pace: RaftTiming = PACE
-    terms: LeaseTerms = TERMS
+    terms: LeaseTiming = TERMS
     faults: tuple[str, ...] = (
-        "crash", "cut", "one-way", "stop", "wipe", "rollback", "disk", "leave", "unwant"
-    )  # fmt: skip
+        "crash",
+        "cut",
+        "one-way",
+        "stop",
+        "wipe",
+        "rollback",
+        "disk",
+        "leave",
+        "unwant",
+    )
     together: float = 0.1  # the share of crashes that take all keepers at once
     sync: int = 5 * MS  # the longest time of a sync
     look_every: int = 400 * MS
@@ -46,11 +61,11 @@
 class VirtualDisk:
     """What is synced is there after a crash; of the rest a beginning may be."""
 
-    synced: list[Record] = field(default_factory=list)
-    writing: list[ev.Save] = field(default_factory=list)
+    synced: list[RaftRecord] = field(default_factory=list)
+    writing: list[ev.PersistRecords] = field(default_factory=list)
     changed: int = 0  # when something was last synced
 
-    def sync(self, save: ev.Save) -> None:
+    def sync(self, save: ev.PersistRecords) -> None:
         self.synced = ([] if save.rewrite else self.synced) + list(save.records)
         self.writing.remove(save)
 
@@ -81,7 +96,7 @@
 class HolderNode(Node):
     def __init__(self, name: str, draw: random.Random, drift: float) -> None:
         super().__init__(name, draw, drift)
-        self.holder: hold.Holder
+        self.holder: hold.LeaseHolder
         self.acting: dict[str, int] = {}
 
 
@@ -108,7 +123,7 @@
         if self.log.setdefault(index, (kind, data)) != (kind, data):
             self.fails(f"{name} applied something else at {index} than another keeper")
 
-    def passed(self, name: str, index: int, granted: Granted) -> None:
+    def passed(self, name: str, index: int, granted: LeaseResult) -> None:
         if granted.fresh:
             told = (granted.token, granted.holder)
             if index not in self.tokens:
@@ -164,13 +179,18 @@
         node.up, node.stopped, node.run = True, False, node.run + 1
         node.waiting.clear()
         self._fresh += 1
-        disk = OnDisk(node.disk.synced)
+        disk = PersistedState(node.disk.synced)
         keeper = RaftNode(
-            node.name, disk, f"d{self._fresh}", list(self.keepers), self.scene.pace,
-            self.seed * 1000 + node.run, node.clock(self.now),
-        )  # fmt: skip
+            node.name,
+            disk,
+            f"d{self._fresh}",
+            list(self.keepers),
+            self.scene.pace,
+            self.seed * 1000 + node.run,
+            node.clock(self.now),
+        )
         node.desk = LeaseService(keeper, self.scene.terms)
-        self._tell_keeper(node, ev.Tick())
+        self._tell_keeper(node, ev.RaftTimeAdvanced())
 
     def _tell_keeper(self, node: KeeperNode, event: Any) -> None:
         assert node.desk is not None
@@ -182,42 +202,42 @@
             if index > node.desk.keeper.journal.snapshot.index:
                 entry = node.desk.keeper.journal.entry(index)
                 self.judge.applied(node.name, index, (entry.term, entry.kind), entry.data)
-        self._wake(node, node.desk.next_at, lambda: self._tell_keeper(node, ev.Tick()))
+        self._wake(node, node.desk.next_at, lambda: self._tell_keeper(node, ev.RaftTimeAdvanced()))
 
     def _carry_out(self, node: KeeperNode, action: Any) -> None:
         match action:
-            case ev.Save():
+            case ev.PersistRecords():
                 node.disk.writing.append(action)
                 span = self.draw.randint(1 * MS, self.scene.sync) + node.slow_disk
                 self.after(span, self._on(node, lambda: self._synced(node, action)))
-            case ev.Say(envelope):
+            case ev.SendMessage(envelope):
                 target = self.keepers[envelope.to]
-                self._deliver(node, target, lambda: self._tell_keeper(target, ev.Received(envelope)))
-            case Reply(caller, _, _, _, _, done) if isinstance(caller, int):
+                self._deliver(node, target, lambda: self._tell_keeper(target, ev.MessageReceived(envelope)))
+            case LeaseServiceReply(caller, _, _, _, _, done) if isinstance(caller, int):
                 if done:
                     self.judge.read(node.name, caller, node.desk.table.newest if node.desk else 0)
-            case Reply(caller, number, granted, leader):
+            case LeaseServiceReply(caller, number, granted, leader):
                 holder = self.holders[str(caller)]
-                event: hold.Event = hold.Answered(number, granted, leader)
-                if number == FREED and granted is not None:
-                    event = hold.Freed(granted.task)
+                event: hold.LeaseHolderEvent = hold.LeaseReplyReceived(number, granted, leader)
+                if number == LEASE_FREED_NUMBER and granted is not None:
+                    event = hold.LeaseFreed(granted.task)
                 self._deliver(node, holder, lambda: self._tell_holder(holder, event))
-            case Passed(index, granted):
+            case LeaseHolderChanged(index, granted):
                 self.judge.passed(node.name, index, granted)
 
-    def _synced(self, node: KeeperNode, save: ev.Save) -> None:
+    def _synced(self, node: KeeperNode, save: ev.PersistRecords) -> None:
         """Group commit: all that was asked for before is on the disk as well."""
         while save in node.disk.writing:
             node.disk.sync(node.disk.writing[0])
         node.disk.changed = self.now
-        self._tell_keeper(node, ev.Persisted(save.number))
+        self._tell_keeper(node, ev.RecordsPersisted(save.number))
 
     def _read(self) -> None:
         """From whoever takes itself for the leader, and it must know all that was granted before."""
         for node in self.keepers.values():
             leads = node.desk is not None and node.desk.keeper.role == LEADER
             if leads and node.up and not node.stopped:
-                self._tell_keeper(node, LookedUp(self.judge.newest, 0))
+                self._tell_keeper(node, LeaseTableReadReceived(self.judge.newest, 0))
         self.after(self.scene.look_every, self._read)
 
     # Holders
@@ -227,21 +247,24 @@
         node.waiting.clear()
         node.holder = self._holder(node)
         for task in self.scene.tasks:
-            self._tell_holder(node, hold.Want(task))
+            self._tell_holder(node, hold.LeaseWanted(task))
 
-    def _holder(self, node: HolderNode) -> hold.Holder:
+    def _holder(self, node: HolderNode) -> hold.LeaseHolder:
         session, keepers = f"{node.name}-{node.run}", list(self.keepers)
-        return hold.Holder(node.name, session, keepers, self.scene.terms, self.seed + node.run)
+        return hold.LeaseHolder(node.name, session, keepers, self.scene.terms, self.seed + node.run)
 
     def _tell_holder(self, node: HolderNode, event: Any) -> None:
         for action in node.holder.handle(node.clock(self.now), event):
-            if isinstance(action, hold.Ask):
-                target, asked = self.keepers[action.keeper], Asked(node.name, action.number, action.wish)
+            if isinstance(action, hold.SendLeaseOperation):
+                target, asked = (
+                    self.keepers[action.keeper],
+                    LeaseOperationReceived(node.name, action.number, action.wish),
+                )
                 self._deliver(node, target, self._asking(target, asked))
         self._look()
-        self._wake(node, node.holder.next_at, lambda: self._tell_holder(node, hold.Tick()))
+        self._wake(node, node.holder.next_at, lambda: self._tell_holder(node, hold.LeaseTimeAdvanced()))
 
-    def _asking(self, target: KeeperNode, asked: Asked) -> Callable[[], None]:
+    def _asking(self, target: KeeperNode, asked: LeaseOperationReceived) -> Callable[[], None]:
         return lambda: self._tell_keeper(target, asked)
 
     def _look(self) -> None:
@@ -334,15 +357,15 @@
     def _fault_leave(self) -> None:
         node = self._any_keeper()
         if node.up and not node.stopped:
-            self._tell_keeper(node, ev.Leave())
+            self._tell_keeper(node, ev.ShutdownRequested())
             self.after(300 * MS, self._on(node, lambda: self._restart(node)))
 
     def _fault_unwant(self) -> None:
         node, task = self.draw.choice(list(self.holders.values())), self.draw.choice(self.scene.tasks)
         if node.up and not node.stopped:
             heir = self.draw.choice(["", *self.holders])
-            self._tell_holder(node, hold.Unwant(task, heir))
-            self.after(S, self._on(node, lambda: self._tell_holder(node, hold.Want(task))))
+            self._tell_holder(node, hold.LeaseUnwanted(task, heir))
+            self.after(S, self._on(node, lambda: self._tell_holder(node, hold.LeaseWanted(task))))
 
     def _heal(self) -> None:
         for node in self.keepers.values():
--- a/lotusstream/leases/holder.py
+++ b/lotusstream/leases/holder.py
@@ -6,21 +6,21 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lotusstream.leases.granter import LeaseTerms
-from lotusstream.leases.table import Acquire, AnyWish, Granted, Release
+from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.table import AcquireLease, LeaseOperation, LeaseResult, ReleaseLease
 
 # Events
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class LeaseWanted:
     """To act for this task whenever nobody else does."""
 
     task: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unwant:
+class LeaseUnwanted:
     """Not any more; `heir` gets it next, if somebody is named."""
 
     task: str
@@ -28,40 +28,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class LeaseReplyReceived:
     """`ask`: the number of the Ask. `granted` is None where nothing is known; `leader`: whom to ask."""
 
     ask: int
-    granted: Granted | None
+    granted: LeaseResult | None
     leader: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Freed:
+class LeaseFreed:
     """A keeper says that nobody holds it now."""
 
     task: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class LeaseTimeAdvanced:
     pass
 
 
-Event = Want | Unwant | Answered | Freed | Tick
+LeaseHolderEvent = LeaseWanted | LeaseUnwanted | LeaseReplyReceived | LeaseFreed | LeaseTimeAdvanced
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendLeaseOperation:
     number: int
     keeper: str
-    wish: AnyWish
+    wish: LeaseOperation
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartTask:
     """Acts from now on under this token."""
 
     task: str
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class StopTask:
     """At once. Whoever acts has also to look at `may_act` before each act: this may come late."""
 
     task: str
@@ -77,43 +77,45 @@
     why: str
 
 
-Action = Ask | Begin | Stop
+LeaseHolderAction = SendLeaseOperation | StartTask | StopTask
 
 
 @dataclass(slots=True)
-class _Task:
+class _TaskState:
     wanted: bool = False
     token: int = 0
     until: int = 0
     ask_at: int = 0
     ask: int = 0  # out, or 0
     asked: int = 0
-    release: Release | None = None
+    release: ReleaseLease | None = None
     tries: int = 0
 
 
-class Holder:
+class LeaseHolder:
     """One for a gateway, over all tasks that it may have."""
 
-    def __init__(self, name: str, session: str, keepers: Sequence[str], terms: LeaseTerms, seed: int) -> None:
+    def __init__(
+        self, name: str, session: str, keepers: Sequence[str], terms: LeaseTiming, seed: int
+    ) -> None:
         self._name, self._session, self._keepers = name, session, tuple(keepers)
         self._terms, self._seed, self._draws = terms, seed, 0
-        self._tasks: dict[str, _Task] = {}
+        self._tasks: dict[str, _TaskState] = {}
         self._leader, self._turn, self._number = "", 0, 0
-        self._now, self._out = 0, list[Action]()
+        self._now, self._out = 0, list[LeaseHolderAction]()
 
-    def handle(self, now: int, event: Event) -> list[Action]:
+    def handle(self, now: int, event: LeaseHolderEvent) -> list[LeaseHolderAction]:
         self._now, self._out = max(now, self._now), []
         match event:
-            case Want(task):
-                found = self._tasks.setdefault(task, _Task())
+            case LeaseWanted(task):
+                found = self._tasks.setdefault(task, _TaskState())
                 if not found.wanted:
                     found.wanted, found.ask_at = True, self._now
-            case Unwant(task, heir):
+            case LeaseUnwanted(task, heir):
                 self._unwant(task, heir)
-            case Answered():
+            case LeaseReplyReceived():
                 self._answered(event)
-            case Freed(task):
+            case LeaseFreed(task):
                 waiting = self._tasks.get(task)
                 if waiting is not None and not waiting.token:
                     waiting.ask_at = self._now
@@ -159,14 +161,14 @@
             token = found.token
             self._stop(task, found, "not wanted any more")
             self._number += 1
-            found.release = Release(task, self._name, self._session, self._number, token, heir)
+            found.release = ReleaseLease(task, self._name, self._session, self._number, token, heir)
             found.ask, found.ask_at, found.tries = 0, self._now, 0
 
-    def _stop(self, task: str, found: _Task, why: str) -> None:
-        self._out.append(Stop(task, found.token, why))
+    def _stop(self, task: str, found: _TaskState, why: str) -> None:
+        self._out.append(StopTask(task, found.token, why))
         found.token = 0
 
-    def _answered(self, event: Answered) -> None:
+    def _answered(self, event: LeaseReplyReceived) -> None:
         task = next((name for name, each in self._tasks.items() if each.ask == event.ask), None)
         if event.leader in self._keepers:
             self._leader = event.leader
@@ -198,10 +200,10 @@
                 self._stop(task, found, "granted anew")
             if not found.token and self._now < found.until:
                 found.token = granted.token
-                self._out.append(Begin(task, granted.token))
+                self._out.append(StartTask(task, granted.token))
             found.ask_at = asked + again
 
-    def _drive(self, name: str, each: _Task) -> None:
+    def _drive(self, name: str, each: _TaskState) -> None:
         if each.token and self._now >= each.until:
             self._stop(name, each, "its time is over and no renewal has come")
         if each.ask and self._now >= each.asked + self._patience:
@@ -214,13 +216,13 @@
             each.release = None  # it runs out by itself
             return
         self._number += 1
-        wish: AnyWish = each.release or Acquire(name, self._name, self._session, self._number)
+        wish: LeaseOperation = each.release or AcquireLease(name, self._name, self._session, self._number)
         each.ask, each.asked = self._number, self._now
         keeper = self._leader or self._keepers[self._turn % len(self._keepers)]
-        self._out.append(Ask(self._number, keeper, wish))
+        self._out.append(SendLeaseOperation(self._number, keeper, wish))
 
 
-class TokenGate:
+class FencingTokenGuard:
     """What is acted on remembers the newest token of each task, and takes nothing under an older one: the
     only guard against a holder that was stopped between its look at the clock and its act."""
 
--- a/lotusstream/leases/table.py
+++ b/lotusstream/leases/table.py
@@ -10,17 +10,18 @@
 
 import msgspec
 
-NOTES, LONGEST_NOTE = 1024, 4096
-CALLERS = (
+MAX_NOTES_COUNT = 1024
+MAX_NOTE_CHARS = 4096
+MAX_TRACKED_HOLDERS_COUNT = (
     512  # whose newest number is kept for each task; older ones may be carried out twice, and harm no one
 )
 
 
-class Wish(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+class LeaseOperationBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
     pass
 
 
-class Acquire(Wish, frozen=True, tag="acquire"):
+class AcquireLease(LeaseOperationBase, frozen=True, tag="acquire"):
     """Also renews, where `holder` has it. `session`: of one run of the holder's program; `number` grows in
     it, so that a wish that comes twice, or late, does nothing."""
 
@@ -30,7 +31,7 @@
     number: int
 
 
-class Release(Wish, frozen=True, tag="release"):
+class ReleaseLease(LeaseOperationBase, frozen=True, tag="release"):
     """`heir`: who gets it next, if that one is to; '' for whoever comes first."""
 
     task: str
@@ -41,7 +42,7 @@
     heir: str = ""
 
 
-class Expire(Wish, frozen=True, tag="expire"):
+class ExpireLease(LeaseOperationBase, frozen=True, tag="expire"):
     """The leader's word: this grant, renewed so often, has run out."""
 
     task: str
@@ -49,7 +50,7 @@
     renewed: int
 
 
-class TakeBack(Wish, frozen=True, tag="take-back"):
+class RevokeLease(LeaseOperationBase, frozen=True, tag="take-back"):
     """By hand: nobody gets it before its time is over, but its holder is told at its next renewal."""
 
     task: str
@@ -57,7 +58,7 @@
     heir: str = ""
 
 
-class Put(Wish, frozen=True, tag="put"):
+class PutNote(LeaseOperationBase, frozen=True, tag="put"):
     """A note that all agree on, by whoever holds `task` under `token`: a newer version, or the same again."""
 
     task: str
@@ -67,12 +68,12 @@
     value: str
 
 
-AnyWish = Acquire | Release | Expire | TakeBack | Put
+LeaseOperation = AcquireLease | ReleaseLease | ExpireLease | RevokeLease | PutNote
 
-_WISHES: msgspec.msgpack.Decoder[AnyWish] = msgspec.msgpack.Decoder(AnyWish)
+_OPERATION_DECODER: msgspec.msgpack.Decoder[LeaseOperation] = msgspec.msgpack.Decoder(LeaseOperation)
 
 
-def encode_wish(wish: AnyWish) -> bytes:
+def encode_operation(wish: LeaseOperation) -> bytes:
     return msgspec.msgpack.encode(wish)
 
 
@@ -99,7 +100,7 @@
     author: str
 
 
-class Granted(msgspec.Struct, frozen=True):
+class LeaseResult(msgspec.Struct, frozen=True):
     """Whether the wish was carried out, and how the lease stands after it. `fresh`: nobody had it before.
     `left`: microseconds until it is free at the soonest, as the leader counts; 0 where that is not known."""
 
@@ -112,14 +113,14 @@
     left: int = 0
 
 
-class _Dump(msgspec.Struct, array_like=True):
+class _StoredTable(msgspec.Struct, array_like=True):
     next_token: int
     leases: list[Lease]
     callers: dict[str, list[tuple[str, str, int]]]
     notes: dict[str, Note] = {}
 
 
-_DUMPS: msgspec.msgpack.Decoder[_Dump] = msgspec.msgpack.Decoder(_Dump)
+_TABLE_DECODER: msgspec.msgpack.Decoder[_StoredTable] = msgspec.msgpack.Decoder(_StoredTable)
 
 
 class LeaseTable:
@@ -136,15 +137,15 @@
         """The newest token that was ever granted."""
         return self._next - 1
 
-    def apply(self, data: bytes) -> Granted:
-        wish = _WISHES.decode(data)
+    def apply(self, data: bytes) -> LeaseResult:
+        wish = _OPERATION_DECODER.decode(data)
         lease = self.leases.get(wish.task) or Lease(wish.task)
         match wish:
-            case Acquire():
+            case AcquireLease():
                 return self._acquire(lease, wish)
-            case Release():
+            case ReleaseLease():
                 return self._release(lease, wish)
-            case Expire(_, token, renewed):
+            case ExpireLease(_, token, renewed):
                 if lease.token != token or lease.renewed != renewed:
                     return self._told(lease, False, "it was renewed or passed on")
                 if token:
@@ -153,15 +154,15 @@
                     lease.heir = ""  # the heir did not come
                     lease.renewed += 1
                 return self._told(lease, True)
-            case TakeBack(_, token, heir):
+            case RevokeLease(_, token, heir):
                 if not token or lease.token != token:
                     return self._told(lease, False, "another holder has it")
                 lease.ending, lease.heir = True, heir
                 return self._told(lease, True)
-            case Put():
+            case PutNote():
                 return self._put(lease, wish)
 
-    def _put(self, lease: Lease, wish: Put) -> Granted:
+    def _put(self, lease: Lease, wish: PutNote) -> LeaseResult:
         if not lease.token or lease.token != wish.token:
             return self._told(lease, False, f"token {wish.token} of '{wish.task}' is not the newest")
         note = self.notes.get(wish.key)
@@ -170,26 +171,26 @@
         if note is not None and note.version >= wish.version:
             why = f"version {note.version} of the {wish.key} of {note.author} is agreed on, and differs"
             return self._told(lease, False, why)
-        if note is None and len(self.notes) >= NOTES:
-            return self._told(lease, False, f"{NOTES} notes are kept, and no more")
-        self.notes[wish.key] = Note(wish.version, wish.value[:LONGEST_NOTE], wish.token, lease.holder)
+        if note is None and len(self.notes) >= MAX_NOTES_COUNT:
+            return self._told(lease, False, f"{MAX_NOTES_COUNT} notes are kept, and no more")
+        self.notes[wish.key] = Note(wish.version, wish.value[:MAX_NOTE_CHARS], wish.token, lease.holder)
         return self._told(lease, True)
 
-    def _told(self, lease: Lease, done: bool, why: str = "", fresh: bool = False) -> Granted:
-        return Granted(done, lease.task, lease.holder, lease.token, why, fresh)
+    def _told(self, lease: Lease, done: bool, why: str = "", fresh: bool = False) -> LeaseResult:
+        return LeaseResult(done, lease.task, lease.holder, lease.token, why, fresh)
 
-    def _repeated(self, wish: Acquire | Release) -> bool:
+    def _repeated(self, wish: AcquireLease | ReleaseLease) -> bool:
         callers = self._callers.setdefault(wish.task, {})
         session, number = callers.get(wish.holder, ("", 0))
         if session == wish.session and wish.number <= number:
             return True
         callers.pop(wish.holder, None)
         callers[wish.holder] = (wish.session, wish.number)
-        if len(callers) > CALLERS:
+        if len(callers) > MAX_TRACKED_HOLDERS_COUNT:
             del callers[next(iter(callers))]
         return False
 
-    def _acquire(self, lease: Lease, wish: Acquire) -> Granted:
+    def _acquire(self, lease: Lease, wish: AcquireLease) -> LeaseResult:
         if self._repeated(wish):
             mine = lease.holder == wish.holder and lease.session == wish.session and lease.token > 0
             return self._told(lease, mine, "" if mine else "asked before")
@@ -208,7 +209,7 @@
         lease.renewed, lease.granted = 0, lease.granted + 1
         return self._told(lease, True, fresh=True)
 
-    def _release(self, lease: Lease, wish: Release) -> Granted:
+    def _release(self, lease: Lease, wish: ReleaseLease) -> LeaseResult:
         if self._repeated(wish) or lease.token != wish.token or lease.session != wish.session:
             return self._told(lease, False, "not its holder any more")
         lease.heir = lease.heir or wish.heir
@@ -224,13 +225,15 @@
         callers = {
             task: [(holder, *told) for holder, told in table.items()] for task, table in self._callers.items()
         }
-        return msgspec.msgpack.encode(_Dump(self._next, list(self.leases.values()), callers, self.notes))
+        return msgspec.msgpack.encode(
+            _StoredTable(self._next, list(self.leases.values()), callers, self.notes)
+        )
 
     @classmethod
     def load(cls, state: bytes) -> LeaseTable:
         table = cls()
         if state:
-            dump = _DUMPS.decode(state)
+            dump = _TABLE_DECODER.decode(state)
             table._next = dump.next_token
             table.leases = {lease.task: lease for lease in dump.leases}
             table.notes = dump.notes
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -28,7 +28,7 @@
     SubsystemEvent,
 )
 from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
-from lotusstream.operator.fleet import FleetText
+from lotusstream.operator.fleet import FleetSettings
 from lotusstream.protocol import peers as wire
 
 PART = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
@@ -41,12 +41,12 @@
     """Time alone may change something."""
 
 
-class CommitmentActor(Actor[GateMessage | wire.Kept | _Tick]):
+class CommitmentActor(Actor[GateMessage | wire.CommitmentReply | _Tick]):
     """Drives `Claims`; what it says reaches the decision module as events."""
 
     def __init__(
-        self, name: str, told: FleetText, deployment: Deployment, decider: Decider, clock: Clock,
-        tell: Callable[[str, wire.AnyFrame], None], supervisor: Supervisor,
+        self, name: str, told: FleetSettings, deployment: Deployment, decider: Decider, clock: Clock,
+        tell: Callable[[str, wire.PeerFrame], None], supervisor: Supervisor,
     ) -> None:  # fmt: skip
         super().__init__("promises", supervisor)
         assert told.copies is not None and told.remember is not None
@@ -64,7 +64,7 @@
         effect = self._deployment.started.profiles[profile].idempotency
         return mark is not None and effect is not Idempotency.IDEMPOTENT
 
-    async def receive(self, message: GateMessage | wire.Kept | _Tick) -> None:
+    async def receive(self, message: GateMessage | wire.CommitmentReply | _Tick) -> None:
         match message:
             case AttemptReady():
                 self._departs(message)
@@ -84,7 +84,7 @@
                 self._take(cl.Answered(command, rows, by))
             case RequestClosed(command, ran, out, given):
                 self._take(cl.Over(command, ran, out, self._clock.now() + given))
-            case wire.Kept(number, what, holding, why, home):
+            case wire.CommitmentReply(number, what, holding, why, home):
                 self._take(cl.Heard(number, what, holding, why, home))
             case _Tick():
                 self._take(cl.Tick())
@@ -118,7 +118,7 @@
         for action in self.claims.handle(self._clock.now(), event):
             match action:
                 case cl.Ask(holder, number, finish, holding, after):
-                    self._tell(holder, wire.Keep(number, finish, holding, after))
+                    self._tell(holder, wire.CommitmentRequest(number, finish, holding, after))
                 case cl.LetGo(command, send):
                     start, actor = self._waiting.pop((command, send))
                     counters.add("sends promised")
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -44,7 +44,7 @@
 
 Put = Callable[[str, int, str, int], Awaitable[str]]  # key, version, value, token: '' once agreed, or why not
 Look = Callable[[], Awaitable[dict[str, Any] | None]]  # what the quorum has, or None
-Tell = Callable[[str, wire.AnyFrame], None]  # to the gateway of this name; may be lost
+Tell = Callable[[str, wire.PeerFrame], None]  # to the gateway of this name; may be lost
 
 
 class CopyStore:
@@ -105,13 +105,13 @@
 class _Asked:
     """Of another gateway, or of this one."""
 
-    frame: wire.Keep
-    answer: Callable[[wire.AnyFrame], None]
+    frame: wire.CommitmentRequest
+    answer: Callable[[wire.PeerFrame], None]
 
 
 @dataclass(frozen=True, slots=True)
 class _Beaten:
-    frame: wire.Beaten
+    frame: wire.ReplicaHeartbeatReply
 
 
 class CopiesActor(Actor[Any]):
@@ -134,7 +134,7 @@
         self._saving = self._anew = False  # anew: the log is to be written whole
         self._armed: asyncio.TimerHandle | None = None  # for what waits for the told pace
         self._failed = ""
-        self._tickets: dict[int, tuple[wire.Keep, Callable[[wire.AnyFrame], None]]] = {}
+        self._tickets: dict[int, tuple[wire.CommitmentRequest, Callable[[wire.PeerFrame], None]]] = {}
         self._ticket = 0
         self._beats: dict[int, int] = {}
         self._beat, self._answered = 0, 0
@@ -181,21 +181,23 @@
             self._beats = {number: at for number, at in kept if now - at < self._terms.leases.length}
             self._beats[self._beat] = now
             told, joined = self.replicas, self.replicas.joined()
-            beat = wire.Beat(self._beat, self.holder, told.session, joined, told.left, told.yields())
+            beat = wire.ReplicaHeartbeat(
+                self._beat, self.holder, told.session, joined, told.left, told.yields()
+            )
             self._tell(self.manager, beat)
 
     def leave(self) -> None:
         """A planned stop: others are home of its shards at once, not only once its lease is over."""
         self.post(rp.Leave())
 
-    def heard(self, frame: wire.AnyFrame, answer: Callable[[wire.AnyFrame], None]) -> None:
+    def heard(self, frame: wire.PeerFrame, answer: Callable[[wire.PeerFrame], None]) -> None:
         match frame:
-            case wire.Word(source, to, word):
+            case wire.ReplicationFrame(source, to, word):
                 if to == self.holder.place:
                     self.post(rp.Heard(source, word))
-            case wire.Keep():
+            case wire.CommitmentRequest():
                 self.post(_Asked(frame, answer))
-            case wire.Beaten():
+            case wire.ReplicaHeartbeatReply():
                 self.post(_Beaten(frame))
 
     async def receive(self, message: Any) -> None:
@@ -242,7 +244,7 @@
                     self._saves.append(action)
                     self._begin_saving()
                 case rp.Say(to, word):
-                    self._tell(to.name, wire.Word(self.holder.place, to, word))
+                    self._tell(to.name, wire.ReplicationFrame(self.holder.place, to, word))
                 case rp.Promised(ticket):
                     self._answer(ticket, "promised", None)
                 case rp.Known(ticket, holding):
@@ -262,7 +264,7 @@
             if what == "unkept" and not home:  # as this holder last heard
                 place = self.homes.get(shard_of(asked.holding.key, self._terms.shards))
                 home = place.name if place is not None and place != self.holder.place else ""
-            answer(wire.Kept(asked.number, what, holding, why, home))
+            answer(wire.CommitmentReply(asked.number, what, holding, why, home))
 
     def _begin_saving(self) -> None:
         if not self._saving:
@@ -398,7 +400,7 @@
         manager = self._manager
         if manager is None or not self._token or self._around.may_act() != self._token:
             return
-        if isinstance(message, wire.Beat):
+        if isinstance(message, wire.ReplicaHeartbeat):
             self._waiting[message.holder.place, message.session] = message.number
             self._machines[message.holder.place] = message.holder.machine
             message = mg.Beacon(message.holder, message.session, message.joined, message.left, message.yields)
@@ -412,7 +414,7 @@
                     number = self._waiting.pop((place, session), 0)
                     mine = tuple(each for each in manager.assigned.values() if place in each.all)
                     homes = {shard: each.home for shard, each in manager.assigned.items()}
-                    self._tell(place.name, wire.Beaten(number, mine, homes, dict(epochs)))
+                    self._tell(place.name, wire.ReplicaHeartbeatReply(number, mine, homes, dict(epochs)))
                 case mg.Endangered(thin, lost):
                     text = f"{thin} shards bear no further loss, {lost} have nobody left"
                     severity = "warning" if thin or lost else "info"
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -9,21 +9,31 @@
 
 from lotusstream.deployment import Deployment
 from lotusstream.leases import holder as hold
-from lotusstream.leases.service import FREED, Asked, Changed, LookedUp
-from lotusstream.leases.table import Put, TakeBack
+from lotusstream.leases.service import (
+    LEASE_FREED_NUMBER,
+    LeaseOperationReceived,
+    LeaseTableReadReceived,
+    MembershipChangeReceived,
+)
+from lotusstream.leases.table import PutNote, RevokeLease
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
 from lotusstream.net.control import Refused
 from lotusstream.net.decider import Decider
-from lotusstream.net.peers import Answer, PeerLimits, PeerLink, PeerServer
+from lotusstream.net.peers import PeerLimits, PeerLink, PeerServer, ReplyCallback
 from lotusstream.net.raft_node import RaftActor, RaftActorOptions, open_store
-from lotusstream.net.tasks import MAKERS, Agree, FleetTask, Makers, TaskContext
-from lotusstream.operator.fleet import COPIES, EXAMINE, FleetText, KeeperAddress
+from lotusstream.net.tasks import TASK_FACTORIES, AgreeOnNote, FleetTask, TaskContext, TaskFactories
+from lotusstream.operator.fleet import (
+    HEALTH_CHECK_TASK,
+    SHARD_CONTROL_TASK,
+    FleetSettings,
+    QuorumMemberAddress,
+)
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.messages import Envelope
+from lotusstream.quorum.messages import RaftEnvelope
 from lotusstream.wal.log import DiskError
 
 if TYPE_CHECKING:
@@ -31,20 +41,27 @@
     from lotusstream.net.copies import CopiesActor, ManagerTask
     from lotusstream.net.health_checks import HealthReportService, PeerReportsActor
 
-ANSWER_WITHIN = 3.0  # seconds, of an operator's question
+QUORUM_REPLY_TIMEOUT_S = 3.0  # seconds, of an operator's question
 
 
-class HolderActor(Actor[hold.Event]):
+class LeaseHolderActor(Actor[hold.LeaseHolderEvent]):
     """Drives the holder on the clock that counts sleep, and the tasks by what it says."""
 
     def __init__(
-        self, name: str, told: FleetText, seed: int, ask: Any, agree: Agree, makers: Makers, decider: Decider,
+        self,
+        name: str,
+        told: FleetSettings,
+        seed: int,
+        ask: Any,
+        agree: AgreeOnNote,
+        makers: TaskFactories,
+        decider: Decider,
         supervisor: Supervisor,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__("leases", supervisor)
         names = [each.name for each in told.keepers]
         session = f"{name}-{uuid.uuid4().hex[:12]}"
-        self.holder = hold.Holder(name, session, names, told.leases, seed)
+        self.holder = hold.LeaseHolder(name, session, names, told.leases, seed)
         self._ask = ask
         self._timer: asyncio.TimerHandle | None = None
         self.since: dict[str, int] = {}
@@ -61,20 +78,20 @@
         super().start()
         for name, task in self.tasks.items():
             task.stop("not held yet")
-            self.post(hold.Want(name))
+            self.post(hold.LeaseWanted(name))
 
-    async def receive(self, message: hold.Event) -> None:
+    async def receive(self, message: hold.LeaseHolderEvent) -> None:
         now = clock.boot_clock()
         for action in self.holder.handle(now, message):
             match action:
-                case hold.Ask(number, keeper, wish):
+                case hold.SendLeaseOperation(number, keeper, wish):
                     self._ask(keeper, number, wish)
-                case hold.Begin(task, token):
+                case hold.StartTask(task, token):
                     self.since[task], self.token[task] = now, token
                     self.supervisor.counters.add("leases got")
                     self._say(task, token, f"held here under token {token}")
                     self.tasks[task].begin(token)
-                case hold.Stop(task, token, why):
+                case hold.StopTask(task, token, why):
                     self.since.pop(task, None)
                     self.token.pop(task, None)
                     self.supervisor.counters.add("leases ended")
@@ -83,7 +100,7 @@
         if self._timer is not None:
             self._timer.cancel()
         pause = max(1000, self.holder.next_at - clock.boot_clock())
-        self._timer = asyncio.get_running_loop().call_later(pause / US, self.post, hold.Tick())
+        self._timer = asyncio.get_running_loop().call_later(pause / US, self.post, hold.LeaseTimeAdvanced())
 
     def anew(self) -> None:
         """What tasks rest on was read anew."""
@@ -102,17 +119,22 @@
 
 class Fleet:
     def __init__(
-        self, told: FleetText, name: str, deployment: Deployment, decider: Decider, clock: Clock,
+        self,
+        told: FleetSettings,
+        name: str,
+        deployment: Deployment,
+        decider: Decider,
+        clock: Clock,
         supervisor: Supervisor,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Raises LogTrouble where this keeper's log can't be trusted."""
         seed = deployment.started.seed
         self._told, self._name, self._supervisor = told, name, supervisor
-        self._asked: dict[int, asyncio.Future[wire.Told]] = {}
+        self._asked: dict[int, asyncio.Future[wire.QuorumReply]] = {}
         self._number = 0
         manners = PeerLimits(told.group, name, told.patience, told.callers)
         idle = 3 * told.leases.length
-        others: tuple[KeeperAddress, ...] = (*told.keepers, *told.holders)
+        others: tuple[QuorumMemberAddress, ...] = (*told.keepers, *told.holders)
         self.links = {
             each.name: PeerLink(each.name, (each.host, each.port), manners, idle, self._told_by, supervisor)
             for each in others
@@ -136,9 +158,9 @@
             terms = RaftActorOptions(name, told.store, named, told.pace, told.leases, seed)
             self.keeper = RaftActor(terms, store, self._carry, supervisor)
         self.brings: dict[str, tuple[int, str]] = {}  # by key: version and value that this gateway knows
-        makers = dict(MAKERS)
+        makers = dict(TASK_FACTORIES)
         if told.copies is not None:
-            makers[COPIES] = self._make_manager
+            makers[SHARD_CONTROL_TASK] = self._make_manager
         self._desk: HealthReportService | None = None
         self.hearsay: PeerReportsActor | None = None
         if told.examine is not None:
@@ -146,7 +168,7 @@
 
             examine, wait = told.examine, deployment.connect_timeout
             keepers = tuple(each.name for each in told.keepers)
-            makers[EXAMINE] = lambda around: HealthCheckTask(
+            makers[HEALTH_CHECK_TASK] = lambda around: HealthCheckTask(
                 around, examine, wait, decider, keepers, self._tell
             )
             self.hearsay = PeerReportsActor(name, keepers, examine, self._tell, decider, supervisor)
@@ -166,7 +188,7 @@
 
             self.promises = CommitmentActor(name, told, deployment, decider, clock, self._tell, supervisor)
             decider.gate = self.promises
-        self.holder = HolderActor(name, told, seed, self._ask, self._agree, makers, decider, supervisor)
+        self.holder = LeaseHolderActor(name, told, seed, self._ask, self._agree, makers, decider, supervisor)
 
     def start(self) -> None:
         """Raises OSError where peers can't be taken."""
@@ -189,9 +211,9 @@
         if self.copies is not None:
             self.copies.leave()
         for task in self.holder.tasks:
-            self.holder.post(hold.Unwant(task))
+            self.holder.post(hold.LeaseUnwanted(task))
         if self.keeper is not None:
-            self.keeper.post(ev.Leave())
+            self.keeper.post(ev.ShutdownRequested())
 
     async def stop(self) -> None:
         await self.holder.stop()
@@ -204,52 +226,52 @@
 
     # Words of others
 
-    def _heard(self, frame: wire.AnyFrame, sender: str, answer: Answer) -> None:
+    def _heard(self, frame: wire.PeerFrame, sender: str, answer: ReplyCallback) -> None:
         """By a connection that another gateway has opened."""
-        if isinstance(frame, wire.Beat):
+        if isinstance(frame, wire.ReplicaHeartbeat):
             if self._manager is not None:
                 self._manager.post(frame)
             return
-        if isinstance(frame, wire.Word) and frame.source.name != sender:
+        if isinstance(frame, wire.ReplicationFrame) and frame.source.name != sender:
             return
-        if isinstance(frame, wire.Word | wire.Keep | wire.Beaten):
+        if isinstance(frame, wire.ReplicationFrame | wire.CommitmentRequest | wire.ReplicaHeartbeatReply):
             if self.copies is not None:
                 self.copies.heard(frame, answer)
             return
         if self.keeper is None:
             return
-        if self._desk is not None and isinstance(frame, wire.Hear):
+        if self._desk is not None and isinstance(frame, wire.HealthReportSubscription):
             self._desk.hear(frame, sender, answer)
-        elif self._desk is not None and isinstance(frame, wire.Tidings):
+        elif self._desk is not None and isinstance(frame, wire.HealthReportFrame):
             self._desk.take(frame.news)
         match frame:
-            case wire.Quorum(envelope):
+            case wire.RaftFrame(envelope):
                 if envelope.sender == sender:
-                    self.keeper.post(ev.Received(envelope))
-            case wire.Ask(number, wish):
-                self.keeper.post(Asked(answer, number, wish))
-            case wire.Look(number):
-                self.keeper.post(LookedUp(answer, number))
-            case wire.Alter(number, name, add):
-                self.keeper.post(Changed(answer, number, name, add))
-
-    def _told_by(self, frame: wire.AnyFrame, _sender: str, _answer: Answer) -> None:
-        if isinstance(frame, wire.Told):
+                    self.keeper.post(ev.MessageReceived(envelope))
+            case wire.LeaseOperationRequest(number, wish):
+                self.keeper.post(LeaseOperationReceived(answer, number, wish))
+            case wire.LeaseTableRequest(number):
+                self.keeper.post(LeaseTableReadReceived(answer, number))
+            case wire.MembershipChangeRequest(number, name, add):
+                self.keeper.post(MembershipChangeReceived(answer, number, name, add))
+
+    def _told_by(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
+        if isinstance(frame, wire.QuorumReply):
             self._take(frame)
         else:
             self._answered(frame)
 
-    def _answered(self, frame: wire.AnyFrame) -> None:
+    def _answered(self, frame: wire.PeerFrame) -> None:
         """By another gateway, or by this one to itself."""
-        if self.promises is not None and isinstance(frame, wire.Kept):
+        if self.promises is not None and isinstance(frame, wire.CommitmentReply):
             self.promises.post(frame)
-        elif self.hearsay is not None and isinstance(frame, wire.Tidings):
+        elif self.hearsay is not None and isinstance(frame, wire.HealthReportFrame):
             self.hearsay.heard(frame)
 
     def _newest_examiner(self) -> int:
         """Its token, as far as this keeper has heard."""
         desk = self.keeper.desk if self.keeper is not None else None
-        lease = desk.table.leases.get(EXAMINE) if desk is not None else None
+        lease = desk.table.leases.get(HEALTH_CHECK_TASK) if desk is not None else None
         return lease.token if lease is not None else 0
 
     # Copies
@@ -261,7 +283,7 @@
         self._manager = ManagerTask(around, self._told.copies, self._tell, self._put, self._look)
         return self._manager
 
-    def _tell(self, name: str, frame: wire.AnyFrame) -> None:
+    def _tell(self, name: str, frame: wire.PeerFrame) -> None:
         if name == self._name:
             self._heard(frame, name, self._answered)
         elif (link := self.links.get(name)) is not None:
@@ -269,37 +291,39 @@
 
     async def _look(self) -> dict[str, Any] | None:
         try:
-            return (await self._question(wire.Look)).view
+            return (await self._question(wire.LeaseTableRequest)).view
         except Refused:
             return None
 
-    async def _put(self, key: str, version: int, value: str, token: int, task: str = COPIES) -> str:
+    async def _put(
+        self, key: str, version: int, value: str, token: int, task: str = SHARD_CONTROL_TASK
+    ) -> str:
         """Why a note is not agreed on, or ''."""
-        wish = Put(task, token, key, version, value)
+        wish = PutNote(task, token, key, version, value)
         try:
-            told = await self._question(lambda number: wire.Ask(number, wish))
+            told = await self._question(lambda number: wire.LeaseOperationRequest(number, wish))
         except Refused as error:
             return str(error)
         return "" if told.granted is not None and told.granted.done else (told.granted or told).why
 
-    def _take(self, told: wire.Told) -> None:
+    def _take(self, told: wire.QuorumReply) -> None:
         if (waiting := self._asked.pop(told.number, None)) is not None:
             if not waiting.done():
                 waiting.set_result(told)
-        elif told.number == FREED and told.granted is not None:
-            self.holder.post(hold.Freed(told.granted.task))
+        elif told.number == LEASE_FREED_NUMBER and told.granted is not None:
+            self.holder.post(hold.LeaseFreed(told.granted.task))
         else:
-            self.holder.post(hold.Answered(told.number, told.granted, told.leader))
+            self.holder.post(hold.LeaseReplyReceived(told.number, told.granted, told.leader))
 
-    def _carry(self, envelope: Envelope) -> None:
+    def _carry(self, envelope: RaftEnvelope) -> None:
         if (link := self.links.get(envelope.to)) is not None:
-            link.put(wire.Quorum(envelope))
+            link.put(wire.RaftFrame(envelope))
 
     def _ask(self, keeper: str, number: int, wish: Any) -> None:
         if keeper == self._name and self.keeper is not None:
-            self.keeper.post(Asked(self._take, number, wish))
+            self.keeper.post(LeaseOperationReceived(self._take, number, wish))
         elif (link := self.links.get(keeper)) is not None:
-            link.put(wire.Ask(number, wish))
+            link.put(wire.LeaseOperationRequest(number, wish))
 
     async def _agree(self, key: str, token: int, task: str) -> str:
         """Why what this gateway brings is not agreed on, or ''."""
@@ -327,13 +351,15 @@
             )
         if self._manager is None or not self._manager.decides:
             agreed = (await self.quorum())["agreed"] or {"leases": ()}
-            holder = next((row["holder"] for row in agreed["leases"] if row["task"] == COPIES), "")
+            holder = next(
+                (row["holder"] for row in agreed["leases"] if row["task"] == SHARD_CONTROL_TASK), ""
+            )
             raise Refused("busy", f"'{holder or 'nobody'}' decides on copies: ask there")
         return await self._manager.drain(machine, undo)
 
     # For operators
 
-    async def _question(self, make: Any) -> wire.Told:
+    async def _question(self, make: Any) -> wire.QuorumReply:
         """Asks one keeper after the other for the leader's answer. Raises Refused."""
         self._number -= 1  # those of the holder grow
         order, why = [each.name for each in self._told.keepers], "no keeper answers"
@@ -341,20 +367,20 @@
             if not order:
                 break
             name, number = order.pop(0), self._number
-            waiting: asyncio.Future[wire.Told] = asyncio.get_running_loop().create_future()
+            waiting: asyncio.Future[wire.QuorumReply] = asyncio.get_running_loop().create_future()
             self._asked[number] = waiting
             if name == self._name and self.keeper is not None:
                 match make(number):
-                    case wire.Look():
-                        self.keeper.post(LookedUp(self._take, number))
-                    case wire.Alter(_, who, add):
-                        self.keeper.post(Changed(self._take, number, who, add))
-                    case wire.Ask(_, wish):
-                        self.keeper.post(Asked(self._take, number, wish))
+                    case wire.LeaseTableRequest():
+                        self.keeper.post(LeaseTableReadReceived(self._take, number))
+                    case wire.MembershipChangeRequest(_, who, add):
+                        self.keeper.post(MembershipChangeReceived(self._take, number, who, add))
+                    case wire.LeaseOperationRequest(_, wish):
+                        self.keeper.post(LeaseOperationReceived(self._take, number, wish))
             else:
                 self.links[name].put(make(number))
             try:
-                told = await asyncio.wait_for(waiting, ANSWER_WITHIN / 3)
+                told = await asyncio.wait_for(waiting, QUORUM_REPLY_TIMEOUT_S / 3)
             except TimeoutError:
                 self._asked.pop(number, None)
                 continue
@@ -377,7 +403,7 @@
     async def quorum(self) -> dict[str, Any]:
         here = self.keeper.view() if self.keeper else None
         try:
-            view = (await self._question(wire.Look)).view
+            view = (await self._question(wire.LeaseTableRequest)).view
             return {"here": here, "agreed": view, "why": ""}
         except Refused as error:
             return {"here": here, "agreed": None, "why": str(error)}
@@ -386,7 +412,7 @@
         if add and self._told.keeper(name) is None:
             known = ", ".join(each.name for each in self._told.keepers)
             raise Refused("unknown", f"no keeper '{name}' in the operator file: it has {known}")
-        await self._question(lambda number: wire.Alter(number, name, add))
+        await self._question(lambda number: wire.MembershipChangeRequest(number, name, add))
         return await self.quorum()
 
     async def leases(self) -> dict[str, Any]:
@@ -411,11 +437,11 @@
         if task not in rows or not rows[task]["token"]:
             raise Refused("unknown", f"nobody holds '{task}'")
         if rows[task]["holder"] == self._name and task in self.holder.tasks:
-            self.holder.post(hold.Unwant(task, heir))
-            self.holder.post(hold.Want(task))
+            self.holder.post(hold.LeaseUnwanted(task, heir))
+            self.holder.post(hold.LeaseWanted(task))
         else:
-            wish = TakeBack(task, rows[task]["token"], heir)
-            told = await self._question(lambda number: wire.Ask(number, wish))
+            wish = RevokeLease(task, rows[task]["token"], heir)
+            told = await self._question(lambda number: wire.LeaseOperationRequest(number, wish))
             if told.granted is not None and not told.granted.done:
                 raise Refused("unknown", told.granted.why)
         return await self.leases()
--- a/lotusstream/net/health_checks.py
+++ b/lotusstream/net/health_checks.py
@@ -33,8 +33,8 @@
 LIST_WITHIN = 5.0  # seconds for the decider to tell its list
 NOBODYS = "0" * 16  # a query that no client has asked for: all that is wanted is an answer
 
-Send = Callable[[str, wire.AnyFrame], None]  # to the gateway of this name; may be lost
-Answer = Callable[[wire.AnyFrame], None]
+Send = Callable[[str, wire.PeerFrame], None]  # to the gateway of this name; may be lost
+Answer = Callable[[wire.PeerFrame], None]
 
 
 class HealthCheckTask(Actor[ex.Event]):
@@ -106,7 +106,7 @@
                     self.supervisor.start("examination", self._look(engine, self._addresses[engine]))
                 case ex.Tell(news):
                     for keeper in self._keepers:
-                        self._send(keeper, wire.Tidings(news))
+                        self._send(keeper, wire.HealthReportFrame(news))
 
     async def _look(self, engine: api.EndpointId, endpoint: Address) -> None:
         """Any answer will do: it says that the process is there and talks, and no more."""
@@ -144,14 +144,14 @@
         self._came = 0
         self._callers: dict[str, tuple[Answer, int]] = {}
 
-    def hear(self, frame: wire.Hear, sender: str, answer: Answer) -> None:
+    def hear(self, frame: wire.HealthReportSubscription, sender: str, answer: Answer) -> None:
         now = clock.boot_clock()
         self._callers.pop(sender, None)
         self._callers[sender] = (answer, now + min(frame.span, 2 * self._terms.old))
         if len(self._callers) > CALLERS:
             del self._callers[next(iter(self._callers))]
         if self._news is not None and now - self._came < self._terms.old:
-            answer(wire.Tidings(self._news, now - self._came))
+            answer(wire.HealthReportFrame(self._news, now - self._came))
 
     def take(self, news: HealthReports) -> None:
         if news.token < self._newest_token() or (self._news and news.order <= self._news.order):
@@ -160,7 +160,7 @@
         self._news, self._came = news, now
         self._callers = {name: told for name, told in self._callers.items() if now < told[1]}
         for answer, _ in self._callers.values():
-            answer(wire.Tidings(news))
+            answer(wire.HealthReportFrame(news))
 
 
 class PeerReportsActor(Actor[hs.Event]):
@@ -183,14 +183,14 @@
             self.post(hs.Tick())
             await asyncio.sleep(self._terms.every / US)
 
-    def heard(self, frame: wire.Tidings) -> None:
+    def heard(self, frame: wire.HealthReportFrame) -> None:
         self.post(hs.Heard(frame.news, frame.late))
 
     async def receive(self, message: hs.Event) -> None:
         for action in self.hearsay.handle(clock.boot_clock(), message):
             match action:
                 case hs.Subscribe(keeper):
-                    self._send(keeper, wire.Hear(2 * self._terms.renewed))
+                    self._send(keeper, wire.HealthReportSubscription(2 * self._terms.renewed))
                 case api.PeerHealthReported(engine, answers):
                     word = "answers again" if answers else "does not answer"
                     text = f"{engine.decode('latin-1')} {word}, as is heard"
--- a/lotusstream/net/peers.py
+++ b/lotusstream/net/peers.py
@@ -15,9 +15,9 @@
 from lotusstream.net.connection import US, Address
 from lotusstream.protocol import peers as wire
 
-QUEUE = 512  # frames that wait for one peer; what comes on top of them is lost
-QUEUE_BYTES = 4 << 20
-BACK_OFF = (0.05, 2.0)  # seconds between two tries to connect, at first and at most
+MAX_QUEUED_FRAMES_COUNT = 512  # frames that wait for one peer; what comes on top of them is lost
+MAX_QUEUED_BYTES = 4 << 20
+BACKOFF_RANGE_S = (0.05, 2.0)  # seconds between two tries to connect, at first and at most
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +31,11 @@
     callers: int
 
 
-Answer = Callable[[wire.AnyFrame], None]
-Handler = Callable[[wire.AnyFrame, str, Answer], None]  # the frame, who sent it, how to answer
+ReplyCallback = Callable[[wire.PeerFrame], None]
+FrameHandler = Callable[[wire.PeerFrame, str, ReplyCallback], None]  # the frame, who sent it, how to answer
 
 
-class Line:
+class PeerConnection:
     """One connection with its queue: both directions, until either breaks."""
 
     def __init__(self, sock: socket.socket, manners: PeerLimits) -> None:
@@ -44,18 +44,18 @@
         self._sock, self._manners = sock, manners
         self._queue: deque[bytes] = deque()
         self._waiting, self._filled = 0, asyncio.Event()
-        self._buffer = Buffer(4096, wire.LONGEST + wire.LENGTH.size)
+        self._buffer = Buffer(4096, wire.MAX_FRAME_BYTES + wire.LENGTH_PREFIX.size)
         self.lost = 0
         self._speaks = 1  # until the other side has said more
         self.sent = self.heard = 0  # writes, and frames that came
 
-    def put(self, frame: wire.AnyFrame) -> bool:
+    def put(self, frame: wire.PeerFrame) -> bool:
         """False where the queue is full: the frame is lost. What the other side does not understand, or has
         not said yet to understand, is left out: it would break the line."""
-        if wire.since(frame) > self._speaks:
+        if wire.required_frame_version(frame) > self._speaks:
             return True
         data = wire.encode(frame)
-        if len(self._queue) >= QUEUE or self._waiting + len(data) > QUEUE_BYTES:
+        if len(self._queue) >= MAX_QUEUED_FRAMES_COUNT or self._waiting + len(data) > MAX_QUEUED_BYTES:
             self.lost += 1
             return False
         self._queue.append(data)
@@ -77,10 +77,10 @@
                 async with asyncio.timeout(self._manners.patience / US):
                     await loop.sock_sendall(self._sock, data)
 
-    async def read(self) -> wire.AnyFrame | None:
+    async def read(self) -> wire.PeerFrame | None:
         """The next frame, or None at the end. Raises BrokenPeer, OSError."""
         loop = asyncio.get_running_loop()
-        while (found := wire.take(self._buffer.data())) is None:
+        while (found := wire.decode_first(self._buffer.data())) is None:
             try:
                 count = await loop.sock_recv_into(self._sock, self._buffer.space())
             except BufferFull as error:
@@ -99,9 +99,9 @@
             first = await self.read()
         if not isinstance(first, wire.Greeting):
             raise wire.PeerProtocolError("the first frame is no greeting")
-        if first.version != wire.VERSION:
+        if first.version != wire.PROTOCOL_VERSION:
             raise wire.PeerProtocolError(
-                f"{first.name} speaks version {first.version}, here it is {wire.VERSION}"
+                f"{first.name} speaks version {first.version}, here it is {wire.PROTOCOL_VERSION}"
             )
         if first.group != self._manners.group:
             raise wire.PeerProtocolError(
@@ -111,13 +111,15 @@
         return first
 
     def greet(self) -> None:
-        self.put(wire.Greeting(wire.VERSION, self._manners.group, self._manners.name, wire.SPEAKS))
+        self.put(
+            wire.Greeting(wire.PROTOCOL_VERSION, self._manners.group, self._manners.name, wire.FRAME_VERSION)
+        )
 
     def close(self) -> None:
         self._sock.close()
 
 
-async def _either(*works: asyncio.Task[None]) -> None:
+async def _run_until_first_ends(*works: asyncio.Task[None]) -> None:
     """Until one ends; the others are ended. Raises what it raised."""
     try:
         done, _ = await asyncio.wait(works, return_when=asyncio.FIRST_COMPLETED)
@@ -129,14 +131,14 @@
         await asyncio.gather(*works, return_exceptions=True)
 
 
-ENDS = (OSError, TimeoutError, wire.PeerProtocolError)
+CONNECTION_ERRORS = (OSError, TimeoutError, wire.PeerProtocolError)
 
 
 class PeerServer:
     """Takes connections of other gateways and hands on what they tell."""
 
     def __init__(
-        self, address: Address, manners: PeerLimits, handle: Handler, supervisor: Supervisor
+        self, address: Address, manners: PeerLimits, handle: FrameHandler, supervisor: Supervisor
     ) -> None:
         self._address, self._manners, self._handle = address, manners, handle
         self._supervisor, self._listener = supervisor, socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -168,15 +170,15 @@
 
     async def _serve(self, sock: socket.socket) -> None:
         name = ""
-        line = Line(sock, self._manners)
+        line = PeerConnection(sock, self._manners)
         try:
             greeting = await line.greeted()
             name = greeting.name
             self.callers[name] = self.callers.get(name, 0) + 1
             line.greet()
             start = asyncio.get_running_loop().create_task
-            await _either(start(line.write()), start(self._read(line, name)))
-        except ENDS as error:
+            await _run_until_first_ends(start(line.write()), start(self._read(line, name)))
+        except CONNECTION_ERRORS as error:
             self._supervisor.counters.add("peers that broke off")
             if isinstance(error, wire.PeerProtocolError):
                 self._supervisor.log.say("peers", f"{name or 'a stranger'}: {error}", peer=name)
@@ -188,8 +190,8 @@
                     del self.callers[name]
             line.close()
 
-    async def _read(self, line: Line, name: str) -> None:
-        def answer(frame: wire.AnyFrame) -> None:
+    async def _read(self, line: PeerConnection, name: str) -> None:
+        def answer(frame: wire.PeerFrame) -> None:
             line.put(frame)
 
         while (frame := await line.read()) is not None:
@@ -212,21 +214,21 @@
         address: Address,
         manners: PeerLimits,
         idle: int,
-        handle: Handler,
+        handle: FrameHandler,
         supervisor: Supervisor,
     ) -> None:
         self.name, self._address, self._manners, self._idle = name, address, manners, idle
         self._handle, self._supervisor = handle, supervisor
         self._wanted = asyncio.Event()
-        self._line: Line | None = None
-        self._first: deque[wire.AnyFrame] = deque(maxlen=16)  # told before the connection is there
+        self._line: PeerConnection | None = None
+        self._first: deque[wire.PeerFrame] = deque(maxlen=16)  # told before the connection is there
         self.tries = 0
         self.connected, self.why = False, "nothing was to be told yet"
 
     def start(self) -> None:
         self._supervisor.keep(f"link to {self.name}", self._run)
 
-    def put(self, frame: wire.AnyFrame) -> None:
+    def put(self, frame: wire.PeerFrame) -> None:
         if self._line is not None:
             if not self._line.put(frame):
                 self._supervisor.counters.add("frames to peers lost")
@@ -240,7 +242,7 @@
             try:
                 await self._connect_and_serve()
                 self.why = "closed"
-            except ENDS as error:
+            except CONNECTION_ERRORS as error:
                 self.why = str(error) or type(error).__name__
                 if isinstance(error, wire.PeerProtocolError):
                     self._supervisor.log.say("peers", f"{self.name}: {error}", peer=self.name)
@@ -252,7 +254,7 @@
     def _pause(self) -> float:
         """Doubled from try to try, spread: a fleet does not come back all at once."""
         lot = zlib.crc32(f"{self._manners.name}/{self.name}/{self.tries}".encode()) / 2**32
-        longest: float = min(BACK_OFF[1], BACK_OFF[0] * 2 ** min(self.tries, 10))
+        longest: float = min(BACKOFF_RANGE_S[1], BACKOFF_RANGE_S[0] * 2 ** min(self.tries, 10))
         return longest * (0.5 + lot / 2)
 
     async def _connect_and_serve(self) -> None:
@@ -265,19 +267,21 @@
         except BaseException:
             sock.close()
             raise
-        line = Line(sock, self._manners)
+        line = PeerConnection(sock, self._manners)
         try:
             line.greet()
             while self._first:
                 line.put(self._first.popleft())
             self._line = line
             writes = loop.create_task(line.write())
-            await _either(writes, loop.create_task(self._read(line)), loop.create_task(self._watch(line)))
+            await _run_until_first_ends(
+                writes, loop.create_task(self._read(line)), loop.create_task(self._watch(line))
+            )
         finally:
             self._line = None
             line.close()
 
-    async def _read(self, line: Line) -> None:
+    async def _read(self, line: PeerConnection) -> None:
         greeting = await line.greeted()
         if greeting.name != self.name:
             raise wire.PeerProtocolError(f"'{greeting.name}' answers where '{self.name}' should be")
@@ -286,7 +290,7 @@
             if not isinstance(frame, wire.Pong):
                 self._handle(frame, self.name, self.put)
 
-    async def _watch(self, line: Line) -> None:
+    async def _watch(self, line: PeerConnection) -> None:
         """Half-open lines are found by what stays unanswered, idle ones are let go."""
         idle, asked, pause = 0.0, 0, self._manners.patience / US / 3
         sent = heard = 0
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -12,22 +12,29 @@
 
 import msgspec
 
-from lotusstream.leases.granter import LeaseTerms
-from lotusstream.leases.service import Asked, Changed, LeaseService, LookedUp, Passed, Reply
+from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.service import (
+    LeaseHolderChanged,
+    LeaseOperationReceived,
+    LeaseService,
+    LeaseServiceReply,
+    LeaseTableReadReceived,
+    MembershipChangeReceived,
+)
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import US
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.messages import Envelope, Record
+from lotusstream.quorum.messages import RaftEnvelope, RaftRecord
 from lotusstream.quorum.node import RaftNode, RaftTiming
-from lotusstream.quorum.replicated_log import OnDisk
+from lotusstream.quorum.replicated_log import PersistedState
 from lotusstream.wal.log import CorruptLogError, Disk, DiskError, Log
 
-_RECORDS: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
-AGAIN = 1.0  # seconds until a disk that failed is looked at again
-FILE = "quorum.log"
-ANSWERED_AS = Callable[[wire.Told], None]
+_RECORD_DECODER: msgspec.msgpack.Decoder[RaftRecord] = msgspec.msgpack.Decoder(RaftRecord)
+REOPEN_DELAY_S = 1.0  # seconds until a disk that failed is looked at again
+LOG_FILE_NAME = "quorum.log"
+ANSWERED_AS = Callable[[wire.QuorumReply], None]
 
 
 def make_disk() -> Disk:
@@ -35,16 +42,16 @@
     return Disk()
 
 
-def open_store(folder: str) -> tuple[Log, OnDisk]:
+def open_store(folder: str) -> tuple[Log, PersistedState]:
     """Raises LogTrouble: CorruptLog where what is there can't be trusted."""
-    path = os.path.join(folder, FILE)
+    path = os.path.join(folder, LOG_FILE_NAME)
     try:
         os.makedirs(folder, mode=0o700, exist_ok=True)
     except OSError as error:
         raise DiskError(folder, error.strerror or str(error), "name a folder that can be made") from error
     log = Log(path, make_disk()).open()
     try:
-        found = OnDisk([_RECORDS.decode(payload) for payload in log.payloads])
+        found = PersistedState([_RECORD_DECODER.decode(payload) for payload in log.payloads])
     except (msgspec.MsgspecError, ValueError) as error:
         log.close()
         hint = "move it away: this keeper then comes back as a new one"
@@ -61,32 +68,32 @@
     folder: str
     named: tuple[str, ...]
     pace: RaftTiming
-    leases: LeaseTerms
+    leases: LeaseTiming
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
-class _DiskFailed:
+class _StoreFailed:
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class _Open:
+class _OpenStore:
     pass
 
 
-class StoreWriter(Actor[ev.Save]):
+class StoreWriter(Actor[ev.PersistRecords]):
     """Writes what was asked for in one go with one sync, off the loop. After a failure it writes no more:
     what the descriptor says is not believed any longer."""
 
     def __init__(
-        self, log: Log, told: Callable[[ev.Persisted | _DiskFailed], None], supervisor: Supervisor
+        self, log: Log, told: Callable[[ev.RecordsPersisted | _StoreFailed], None], supervisor: Supervisor
     ) -> None:
         super().__init__("quorum store", supervisor)
         self._log, self._told, self._failed = log, told, False
         self._writing = threading.Lock()  # a task that is ended leaves its thread at work
 
-    async def receive(self, message: ev.Save) -> None:
+    async def receive(self, message: ev.PersistRecords) -> None:
         if self._failed:
             return
         saves = [message]
@@ -96,12 +103,12 @@
             await asyncio.to_thread(self._write, saves)
         except DiskError as error:
             self._failed = True
-            self._told(_DiskFailed(str(error)))
+            self._told(_StoreFailed(str(error)))
             return
         self.supervisor.counters.add("quorum syncs")
-        self._told(ev.Persisted(saves[-1].number))
+        self._told(ev.RecordsPersisted(saves[-1].number))
 
-    def _write(self, saves: list[ev.Save]) -> None:
+    def _write(self, saves: list[ev.PersistRecords]) -> None:
         whole = max((at for at, save in enumerate(saves) if save.rewrite), default=None)
         payloads = [msgspec.msgpack.encode(record) for save in saves[whole or 0 :] for record in save.records]
         with self._writing:
@@ -120,16 +127,26 @@
             self._log.close()
 
 
-KeeperMessage = ev.Event | Asked | LookedUp | Changed | _DiskFailed | _Open
+RaftActorMessage = (
+    ev.RaftEvent
+    | LeaseOperationReceived
+    | LeaseTableReadReceived
+    | MembershipChangeReceived
+    | _StoreFailed
+    | _OpenStore
+)
 
 
-class RaftActor(Actor[KeeperMessage]):
+class RaftActor(Actor[RaftActorMessage]):
     """`say` carries an envelope to another keeper; it may be lost. Who asks gives a callable as `caller`."""
 
     def __init__(
-        self, terms: RaftActorOptions, store: tuple[Log, OnDisk] | None, say: Callable[[Envelope], None],
+        self,
+        terms: RaftActorOptions,
+        store: tuple[Log, PersistedState] | None,
+        say: Callable[[RaftEnvelope], None],
         supervisor: Supervisor,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__("keeper", supervisor)
         self._terms, self._say = terms, say
         self.desk: LeaseService | None = None
@@ -142,19 +159,25 @@
 
     def start(self) -> None:
         super().start()
-        self.post(_Open())
+        self.post(_OpenStore())
 
-    async def receive(self, message: KeeperMessage) -> None:
+    async def receive(self, message: RaftActorMessage) -> None:
         match message:
-            case _Open():
+            case _OpenStore():
                 await self._open()
                 return
-            case _DiskFailed(why):
+            case _StoreFailed(why):
                 await self._shut(why)
                 return
         if self.desk is None:
-            if isinstance(message, Asked | LookedUp | Changed):
-                self._answer(Reply(message.caller, message.number, None, "", self.trouble or "not open yet"))
+            if isinstance(
+                message, LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived
+            ):
+                self._answer(
+                    LeaseServiceReply(
+                        message.caller, message.number, None, "", self.trouble or "not open yet"
+                    )
+                )
             return
         self._carry_out(self.desk.handle(clock.boot_clock(), message))
         self._schedule()
@@ -180,10 +203,10 @@
         keeper = RaftNode(terms.name, found, fresh, terms.named, terms.pace, seed, now)
         self.desk = LeaseService(keeper, terms.leases)
         self._due = 0
-        self.post(ev.Tick())
+        self.post(ev.RaftTimeAdvanced())
 
-    def _stored(self, start: int) -> Callable[[ev.Persisted | _DiskFailed], None]:
-        def told(event: ev.Persisted | _DiskFailed) -> None:
+    def _stored(self, start: int) -> Callable[[ev.RecordsPersisted | _StoreFailed], None]:
+        def told(event: ev.RecordsPersisted | _StoreFailed) -> None:
             if self._starts == start:
                 self.post(event)
 
@@ -199,13 +222,13 @@
         self._trouble(why)
         if desk is not None:
             for caller, number in desk.waiting():
-                self._answer(Reply(caller, number, None, "", why))
+                self._answer(LeaseServiceReply(caller, number, None, "", why))
 
     def _trouble(self, why: str) -> None:
         self.trouble = why
         self.supervisor.counters.add("quorum disk failures")
         self.supervisor.log.say("quorum", f"this keeper stands still: {why}", "error", why=why)
-        asyncio.get_running_loop().call_later(AGAIN, self.post, _Open())
+        asyncio.get_running_loop().call_later(REOPEN_DELAY_S, self.post, _OpenStore())
 
     # What the desk wants
 
@@ -213,31 +236,35 @@
         log = self.supervisor.log
         for action in actions:
             match action:
-                case ev.Save():
+                case ev.PersistRecords():
                     assert self._store is not None
                     self._store.post(action)
-                case ev.Say(envelope):
+                case ev.SendMessage(envelope):
                     self._say(envelope)
-                case Reply():
+                case LeaseServiceReply():
                     self._answer(action)
-                case ev.Became(role, term, leader, why):
+                case ev.ReportRoleChange(role, term, leader, why):
                     self.supervisor.counters.add(f"quorum became {role}")
                     text = f"{role} in term {term}" + (f", {leader} leads" if leader else "") + f": {why}"
                     log.say(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
-                case ev.NewMembers(index, members):
+                case ev.ReportMembershipChange(index, members):
                     names = [f"{each.name}{'' if each.voter else ' (learner)'}" for each in members]
                     log.say("keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names)
-                case Passed(_, granted):
+                case LeaseHolderChanged(_, granted):
                     who = f"{granted.holder}, token {granted.token}" if granted.token else "nobody"
                     log.say(
-                        "lease", f"{granted.task}: held by {who}", "info",
-                        task=granted.task, holder=granted.holder, token=granted.token,
-                    )  # fmt: skip
-
-    def _answer(self, reply: Reply) -> None:
+                        "lease",
+                        f"{granted.task}: held by {who}",
+                        "info",
+                        task=granted.task,
+                        holder=granted.holder,
+                        token=granted.token,
+                    )
+
+    def _answer(self, reply: LeaseServiceReply) -> None:
         assert callable(reply.caller)
         view = self.view() if reply.done and reply.granted is None else None
-        told = wire.Told(reply.number, reply.done, reply.granted, reply.leader, reply.why, view)
+        told = wire.QuorumReply(reply.number, reply.done, reply.granted, reply.leader, reply.why, view)
         reply.caller(told)
 
     def _schedule(self) -> None:
@@ -254,7 +281,7 @@
     def _fire(self) -> None:
         """Maybe a little early: the loop's timers count whole milliseconds."""
         self._timer = None
-        self.post(ev.Tick())
+        self.post(ev.RaftTimeAdvanced())
 
     def view(self) -> dict[str, Any]:
         """As it stands here, for people; ages in microseconds."""
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -173,17 +173,17 @@
     def _leave_moves_to_others(self, decider: Decider) -> None:
         """In a fleet a move needs the lease, also where this gateway never asks for it."""
         from lotusstream.cells.controller import Drives
-        from lotusstream.operator.fleet import MOVES
+        from lotusstream.operator.fleet import MIGRATION_TASK
 
         told = self.around.file.fleet
-        if told is not None and self.around.file.cells is not None and MOVES not in told.tasks:
+        if told is not None and self.around.file.cells is not None and MIGRATION_TASK not in told.tasks:
             decider.post(SubsystemEvent(Drives(0)))
 
     def anew(self, file: OperatorFile) -> None:
-        from lotusstream.net.tasks import PLAN
+        from lotusstream.net.tasks import PLAN_NOTE_KEY
 
         if self.fleet is not None and file.cells is not None:
-            self.fleet.bring(PLAN, file.cells.number, file.cells.digest)
+            self.fleet.bring(PLAN_NOTE_KEY, file.cells.number, file.cells.digest)
 
     def start(self) -> None:
         assert self.fleet is not None
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -11,13 +11,13 @@
 from lotusstream.cells.controller import Drives
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.decider import SubsystemEvent
-from lotusstream.operator.fleet import MOVES
+from lotusstream.operator.fleet import MIGRATION_TASK
 
-PLAN = "plan"
-PAUSE = 1.0  # seconds until a plan that was not agreed on is brought again: it may be read anew
+PLAN_NOTE_KEY = "plan"
+PLAN_RETRY_DELAY_S = 1.0  # seconds until a plan that was not agreed on is brought again: it may be read anew
 
 
-Agree = Callable[[str, int, str], Awaitable[str]]  # key, token, task: '' once agreed on, or why not
+AgreeOnNote = Callable[[str, int, str], Awaitable[str]]  # key, token, task: '' once agreed on, or why not
 
 
 class FleetTask(Protocol):
@@ -36,10 +36,10 @@
     may_act: Callable[[], int]
     tell_decider: Callable[[SubsystemEvent], None]
     supervisor: Supervisor
-    agree: Agree
+    agree: AgreeOnNote
 
 
-class MovesTask:
+class MigrationTask:
     """Begins moves of tenants: by hand here, or of the poisonous, once all agree on this gateway's plan. The
     keeper of cells turns away what comes under an older token."""
 
@@ -51,9 +51,11 @@
         self._agreeing = self._around.supervisor.start("plan", self._agree(token))
 
     async def _agree(self, token: int) -> None:
-        while (why := await self._around.agree(PLAN, token, MOVES)) and self._around.may_act() == token:
+        while (
+            why := await self._around.agree(PLAN_NOTE_KEY, token, MIGRATION_TASK)
+        ) and self._around.may_act() == token:
             self._around.supervisor.log.say("plan", f"no moves are begun here: {why}", reason=why)
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(PLAN_RETRY_DELAY_S)
         if self._around.may_act() == token:
             self._around.tell_decider(SubsystemEvent(Drives(token)))
 
@@ -64,5 +66,5 @@
         self._around.tell_decider(SubsystemEvent(Drives(0)))
 
 
-Makers = dict[str, Callable[[TaskContext], FleetTask]]
-MAKERS: Makers = {MOVES: MovesTask}
+TaskFactories = dict[str, Callable[[TaskContext], FleetTask]]
+TASK_FACTORIES: TaskFactories = {MIGRATION_TASK: MigrationTask}
--- a/lotusstream/operator/file.py
+++ b/lotusstream/operator/file.py
@@ -9,7 +9,7 @@
 from lotusstream.levels.condition import Compare
 from lotusstream.levels.ladder import FULL_SERVICE, Ladder, LadderError, Level, Start, unsound, unsound_for
 from lotusstream.operator.cells import CellsText, DeploymentContext, cells_of, unfit_cells
-from lotusstream.operator.fleet import MOVES, FleetText, fleet_of, unfit_fleet
+from lotusstream.operator.fleet import MIGRATION_TASK, FleetSettings, gateway_problems, read_fleet_settings
 from lotusstream.operator.problems import OperatorFileError, Problem
 from lotusstream.operator.tree import Node, TreeReader
 from lotusstream.operator.units import write_time
@@ -50,7 +50,7 @@
     ladder: Ladder | None
     cells: CellsText | None
     root: Node
-    fleet: FleetText | None = None
+    fleet: FleetSettings | None = None
 
     def unfit_for(self, around: DeploymentContext) -> list[Problem]:
         """What does not go with the gateway's configuration."""
@@ -62,7 +62,7 @@
         if self.cells is not None and (block := self.root.one("cells")) is not None:
             found += unfit_cells(self.path, block, self.cells, around)
         if self.fleet is not None and (block := self.root.one("fleet")) is not None and around.gateway:
-            found += unfit_fleet(self.path, block, self.fleet, around.gateway)
+            found += gateway_problems(self.path, block, self.fleet, around.gateway)
         return found
 
 
@@ -105,10 +105,10 @@
     fleet = None
     block = root.one("fleet")
     if block is not None and not any(_within(block, problem, text) for problem in problems):
-        fleet, wrong = fleet_of(path, block)
+        fleet, wrong = read_fleet_settings(path, block)
         problems += wrong
-        if MOVES in fleet.tasks and cells is None and (node := block.one("tasks")) is not None:
-            what = f"the task '{MOVES}' without cells: there is nothing to move"
+        if MIGRATION_TASK in fleet.tasks and cells is None and (node := block.one("tasks")) is not None:
+            what = f"the task '{MIGRATION_TASK}' without cells: there is nothing to move"
             problems.append(Problem(path, node.line, node.column, what, "add cells, or leave it out"))
     if (node := root.one("control")) is None:
         for keyword in ("control-request", "control-patience", "control-clients"):
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -8,7 +8,7 @@
 from lotusstream.copies.shard_controller import CopyTerms
 from lotusstream.copies.shards import SHARDS
 from lotusstream.healthcheck.reports import HealthCheckOptions
-from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.granter import LeaseTiming
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
 from lotusstream.operator.tree import (
@@ -27,27 +27,32 @@
 from lotusstream.quorum.node import RaftTiming
 
 MS, SECOND = 1_000, 1_000_000
-LEAST_LOOK = 100 * MS
-REPAIR_PACE = 8 << 20  # bytes a second
-SCRUB = 3600 * 1_000_000
-LEASE, DRIFT, HEARTBEAT, PATIENCE = 10 * SECOND, 0.02, 100 * MS, SECOND
-MOVES, COPIES, EXAMINE = "moves", "copies", "examine"
-TASKS = {
-    MOVES: "who begins moves of tenants between cells",
-    COPIES: "who decides where copies are held",
-    EXAMINE: "who examines engines for all",
+MIN_HEALTH_CHECK_INTERVAL_US = 100 * MS
+DEFAULT_REPAIR_BYTES_PER_S = 8 << 20  # bytes a second
+DEFAULT_ANTI_ENTROPY_INTERVAL_US = 3600 * 1_000_000
+DEFAULT_LEASE_DURATION_US = 10 * SECOND
+DEFAULT_CLOCK_DRIFT_RATIO = 0.02
+DEFAULT_HEARTBEAT_US = 100 * MS
+DEFAULT_PEER_TIMEOUT_US = SECOND
+MIGRATION_TASK = "moves"
+SHARD_CONTROL_TASK = "copies"
+HEALTH_CHECK_TASK = "examine"
+TASK_DESCRIPTIONS = {
+    MIGRATION_TASK: "who begins moves of tenants between cells",
+    SHARD_CONTROL_TASK: "who decides where copies are held",
+    HEALTH_CHECK_TASK: "who examines engines for all",
 }  # what a gateway may act for, and what it means
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperAddress:
+class QuorumMemberAddress:
     name: str
     host: str
     port: int
 
 
 @dataclass(frozen=True, slots=True)
-class HolderAddress(KeeperAddress):
+class ReplicaAddress(QuorumMemberAddress):
     """A gateway that holds things for others, where, and what may be lost with it."""
 
     machine: str
@@ -55,20 +60,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetText:
+class FleetSettings:
     """Times in microseconds. `store`: the folder of this gateway's log, if it is a keeper. `listen`: where it
     takes peers, instead of its address in `keepers`."""
 
     group: str
-    keepers: tuple[KeeperAddress, ...]
+    keepers: tuple[QuorumMemberAddress, ...]
     store: str | None
     listen: tuple[str, int] | None
     pace: RaftTiming
-    leases: LeaseTerms
+    leases: LeaseTiming
     patience: int
     callers: int
     tasks: tuple[str, ...]
-    holders: tuple[HolderAddress, ...] = ()
+    holders: tuple[ReplicaAddress, ...] = ()
     copies: CopyTerms | None = None
     remember: int | None = None  # how long a command with a mark is known to all gateways
     examine: HealthCheckOptions | None = None
@@ -76,13 +81,13 @@
     def descriptors(self, name: str) -> int:
         """How many the gateway of this name needs for it at most."""
         serves = self.keeper(name) or self.holder(name)
-        looks = self.examine.most if self.examine is not None and EXAMINE in self.tasks else 0
+        looks = self.examine.most if self.examine is not None and HEALTH_CHECK_TASK in self.tasks else 0
         return len({*self.keepers, *self.holders}) + 4 + (self.callers + 4 if serves else 0) + looks
 
-    def holder(self, name: str) -> HolderAddress | None:
+    def holder(self, name: str) -> ReplicaAddress | None:
         return next((each for each in self.holders if each.name == name), None)
 
-    def keeper(self, name: str) -> KeeperAddress | None:
+    def keeper(self, name: str) -> QuorumMemberAddress | None:
         return next((each for each in self.keepers if each.name == name), None)
 
 
@@ -95,14 +100,16 @@
 
 def task_names(words: Sequence[Word]) -> tuple[str, ...]:
     if not words:
-        raise DirectiveError("found the end of the line", f"one of {', '.join(TASKS)} would do")
+        raise DirectiveError("found the end of the line", f"one of {', '.join(TASK_DESCRIPTIONS)} would do")
     for word in words:
-        if word.plain() not in TASKS:
-            raise DirectiveError(f"found '{word.text}'", nearest(word.plain(), TASKS), word.column)
+        if word.plain() not in TASK_DESCRIPTIONS:
+            raise DirectiveError(
+                f"found '{word.text}'", nearest(word.plain(), TASK_DESCRIPTIONS), word.column
+            )
     return tuple(word.plain() for word in words)
 
 
-FLEET = {
+FLEET_DIRECTIVES = {
     each.keyword: each
     for each in (
         Directive("group", "the name that all gateways of this fleet say", (Argument("a name", name),),
@@ -146,51 +153,51 @@
 }  # fmt: skip
 
 
-def fleet_of(file: str, block: Node) -> tuple[FleetText, list[Problem]]:
+def read_fleet_settings(file: str, block: Node) -> tuple[FleetSettings, list[Problem]]:
     keepers = tuple(
-        KeeperAddress(node.values["a name"], *node.values["an address"]) for node in block.all("keeper")
+        QuorumMemberAddress(node.values["a name"], *node.values["an address"]) for node in block.all("keeper")
     )
-    beat = block.value("heartbeat", "a time", HEARTBEAT)
+    beat = block.value("heartbeat", "a time", DEFAULT_HEARTBEAT_US)
     election = block.value("election", "a time", 5 * beat)
-    length = block.value("lease", "a time", LEASE)
-    drift = block.value("drift", "a share", DRIFT)
-    least = LeaseTerms(length, 0, drift).least_margin()
+    length = block.value("lease", "a time", DEFAULT_LEASE_DURATION_US)
+    drift = block.value("drift", "a share", DEFAULT_CLOCK_DRIFT_RATIO)
+    least = LeaseTiming(length, 0, drift).least_margin()
     margin = block.value("margin", "a time", max(length // 8, least))
-    found = FleetText(
+    found = FleetSettings(
         block.value("group", "a name", ""),
         keepers,
         block.value("store", "a path"),
         block.value("listen", "an address"),
         RaftTiming(beat, election),
-        LeaseTerms(length, margin, drift),
-        block.value("peer-patience", "a time", PATIENCE),
+        LeaseTiming(length, margin, drift),
+        block.value("peer-patience", "a time", DEFAULT_PEER_TIMEOUT_US),
         block.value("peers-most", "a number", 256),
         block.value("tasks", "rest", ()),
         tuple(
-            HolderAddress(told["a name"], host, port, told["a machine"], told["a zone"])
+            ReplicaAddress(told["a name"], host, port, told["a machine"], told["a zone"])
             for told in (node.values for node in block.all("holder"))
             for host, port in (told["an address"],)
         ),
-        _copies(block, LeaseTerms(length, margin, drift)),
+        _copies(block, LeaseTiming(length, margin, drift)),
         block.value("remember", "a time"),
         HealthCheckOptions(every) if (every := block.value("examine", "a time")) else None,
     )
-    return found, list(_wrong(file, block, found))
+    return found, list(_problems(file, block, found))
 
 
-def _copies(block: Node, leases: LeaseTerms) -> CopyTerms | None:
+def _copies(block: Node, leases: LeaseTiming) -> CopyTerms | None:
     if (node := block.one("copies")) is None:
         return None
     shards = block.value("shards", "a number", SHARDS)
     repairs = block.value("repairs", "a number", 4)
     most = block.value("holds", "a size", 0)
-    rate = block.value("repair-pace", "a size", REPAIR_PACE)
+    rate = block.value("repair-pace", "a size", DEFAULT_REPAIR_BYTES_PER_S)
     copies, promise = node.values["a number"], node.values["a promise"]
-    scrub = block.value("scrub", "a time", SCRUB)
+    scrub = block.value("scrub", "a time", DEFAULT_ANTI_ENTROPY_INTERVAL_US)
     return CopyTerms(copies, promise, leases, repairs, shards, most=most, rate=rate, scrub=scrub)
 
 
-def _wrong(file: str, block: Node, told: FleetText) -> Iterator[Problem]:
+def _problems(file: str, block: Node, told: FleetSettings) -> Iterator[Problem]:
     def wrong(keyword: str, what: str, hint: str, last: bool = False) -> Problem:
         nodes = block.all(keyword)
         at = (nodes[-1] if last else nodes[0]) if nodes else block
@@ -219,16 +226,16 @@
             yield wrong("copies", what, "name holders on as many machines: no two copies share one")
     elif told.remember is not None:
         yield wrong("remember", "nothing is held without 'copies'", "copies 3 promise 2, and holders")
-    elif told.holders or COPIES in told.tasks:
+    elif told.holders or SHARD_CONTROL_TASK in told.tasks:
         yield wrong("holder", "holders without 'copies'", "say on how many disks: copies 3 promise 2")
-    if told.examine is None and EXAMINE in told.tasks:
+    if told.examine is None and HEALTH_CHECK_TASK in told.tasks:
         yield wrong("tasks", "nothing says how often engines are examined", "examine 1s")
-    if told.examine is not None and told.examine.every < LEAST_LOOK:
+    if told.examine is not None and told.examine.every < MIN_HEALTH_CHECK_INTERVAL_US:
         what = f"each engine examined every {write_time(told.examine.every)}"
-        yield wrong("examine", what, f"{write_time(LEAST_LOOK)} or more would do")
+        yield wrong("examine", what, f"{write_time(MIN_HEALTH_CHECK_INTERVAL_US)} or more would do")
     pace, terms = told.pace, told.leases
     if pace.heartbeat < MS:
-        yield wrong("heartbeat", "a heartbeat under 1ms", f"{write_time(HEARTBEAT)} would do")
+        yield wrong("heartbeat", "a heartbeat under 1ms", f"{write_time(DEFAULT_HEARTBEAT_US)} would do")
     if pace.election < 3 * pace.heartbeat:
         what = (
             f"an election after {write_time(pace.election)}, with a heartbeat of {write_time(pace.heartbeat)}"
@@ -249,7 +256,7 @@
         yield wrong("margin", what, f"{least} to {write_time(terms.length // 2)} would do")
 
 
-def unfit_fleet(file: str, block: Node, told: FleetText, gateway: str) -> Iterator[Problem]:
+def gateway_problems(file: str, block: Node, told: FleetSettings, gateway: str) -> Iterator[Problem]:
     """What does not go with the gateway's own name."""
     if (told.keeper(gateway) or told.holder(gateway)) and told.store is None:
         what = f"'{gateway}' is a {'keeper' if told.keeper(gateway) else 'holder'} and has no store"
--- a/lotusstream/operator/vocabulary.py
+++ b/lotusstream/operator/vocabulary.py
@@ -4,7 +4,7 @@
 
 from lotusstream.interface import RetriesAllowed
 from lotusstream.operator.cells import CELLS
-from lotusstream.operator.fleet import FLEET
+from lotusstream.operator.fleet import FLEET_DIRECTIVES
 from lotusstream.operator.tree import Argument, Directive, choice, name, number, path, share, size, time
 
 
@@ -98,6 +98,6 @@
         ),
     ),
     Directive("cells", "cells of engines, and which tenants live there", block=CELLS),
-    Directive("fleet", "leases among the gateways of a fleet, and their keepers", block=FLEET),
+    Directive("fleet", "leases among the gateways of a fleet, and their keepers", block=FLEET_DIRECTIVES),
     Directive("ladder", "levels of reduced service", block=LADDER),
 )
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -13,24 +13,24 @@
 from lotusstream.copies.messages import AnyWord, Assigned, Compare, Compared, Holding
 from lotusstream.copies.shards import Holder, Place
 from lotusstream.healthcheck.reports import HealthReports
-from lotusstream.leases.table import AnyWish, Granted
-from lotusstream.quorum.messages import Envelope
+from lotusstream.leases.table import LeaseOperation, LeaseResult
+from lotusstream.quorum.messages import RaftEnvelope
 
-LENGTH = struct.Struct("!I")
-VERSION = 1  # of the form of frames: another one can't be read at all
-SPEAKS = 2  # the newest frames that are understood here
-LONGEST = 2 << 20  # a record of the log is at most 1 MB
+LENGTH_PREFIX = struct.Struct("!I")
+PROTOCOL_VERSION = 1  # of the form of frames: another one can't be read at all
+FRAME_VERSION = 2  # the newest frames that are understood here
+MAX_FRAME_BYTES = 2 << 20  # a record of the log is at most 1 MB
 
 
 class PeerProtocolError(Exception):
     """What came is no frame of ours; the connection can't be read on."""
 
 
-class Frame(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+class FrameBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
     pass
 
 
-class Greeting(Frame, frozen=True, tag="greeting"):
+class Greeting(FrameBase, frozen=True, tag="greeting"):
     """`group`: a told name that keeps strangers out by mistake; it is no secret. `speaks`: the newest frames
     that this side understands; programs of before there were any others do not say it."""
 
@@ -40,47 +40,47 @@
     speaks: int = 1
 
 
-class Ping(Frame, frozen=True, tag="ping"):
+class Ping(FrameBase, frozen=True, tag="ping"):
     pass
 
 
-class Pong(Frame, frozen=True, tag="pong"):
+class Pong(FrameBase, frozen=True, tag="pong"):
     pass
 
 
-class Quorum(Frame, frozen=True, tag="quorum"):
-    envelope: Envelope
+class RaftFrame(FrameBase, frozen=True, tag="quorum"):
+    envelope: RaftEnvelope
 
 
-class Ask(Frame, frozen=True, tag="ask"):
+class LeaseOperationRequest(FrameBase, frozen=True, tag="ask"):
     number: int
-    wish: AnyWish
+    wish: LeaseOperation
 
 
-class Look(Frame, frozen=True, tag="look"):
+class LeaseTableRequest(FrameBase, frozen=True, tag="look"):
     """The table of leases, and the keepers, as they are after all that was told before."""
 
     number: int
 
 
-class Alter(Frame, frozen=True, tag="alter"):
+class MembershipChangeRequest(FrameBase, frozen=True, tag="alter"):
     number: int
     name: str
     add: bool
 
 
-class Told(Frame, frozen=True, tag="told"):
+class QuorumReply(FrameBase, frozen=True, tag="told"):
     """`granted` None: not known, or not asked for. `leader`: whom to ask. `view`: of a Look."""
 
     number: int
     done: bool
-    granted: Granted | None
+    granted: LeaseResult | None
     leader: str
     why: str
     view: dict[str, Any] | None = None
 
 
-class Word(Frame, frozen=True, tag="word"):
+class ReplicationFrame(FrameBase, frozen=True, tag="word"):
     """Between two holders of copies."""
 
     source: Place
@@ -88,7 +88,7 @@
     word: AnyWord
 
 
-class Beat(Frame, frozen=True, tag="beat"):
+class ReplicaHeartbeat(FrameBase, frozen=True, tag="beat"):
     """A holder's beacon to whoever decides on homes. `joined`: by shard, epoch and whom it has filled.
     `left`: it promises nothing any more. `yields`: by shard, epoch and whose disk has more."""
 
@@ -100,7 +100,7 @@
     yields: dict[int, tuple[int, Place]] = {}
 
 
-class Beaten(Frame, frozen=True, tag="beaten"):
+class ReplicaHeartbeatReply(FrameBase, frozen=True, tag="beaten"):
     """The answer: what this holder has to do with, all homes, and the epochs of all shards."""
 
     number: int
@@ -109,7 +109,7 @@
     epochs: dict[int, int] = {}
 
 
-class Keep(Frame, frozen=True, tag="keep"):
+class CommitmentRequest(FrameBase, frozen=True, tag="keep"):
     """Asks a home to hold something, before it is sent or (`finish`) answered. `after`: the owner whose claim
     it takes the place of."""
 
@@ -119,7 +119,7 @@
     after: str = ""
 
 
-class Kept(Frame, frozen=True, tag="kept"):
+class CommitmentReply(FrameBase, frozen=True, tag="kept"):
     """`what`: promised, known (with the holding that is there), unkept, or maybe. `home`: whom to ask."""
 
     number: int
@@ -129,54 +129,72 @@
     home: str
 
 
-class Hear(Frame, frozen=True, tag="hear"):
+class HealthReportSubscription(FrameBase, frozen=True, tag="hear"):
     """Asks a keeper to pass on what is found of engines, for `span` microseconds."""
 
     span: int
 
 
-class Tidings(Frame, frozen=True, tag="tidings"):
+class HealthReportFrame(FrameBase, frozen=True, tag="tidings"):
     """From who examines engines to the keepers, and on to all. `late`: microseconds since it was told."""
 
     news: HealthReports
     late: int = 0
 
 
-AnyFrame = (
-    Greeting | Ping | Pong | Quorum | Ask | Look | Alter | Told | Word | Beat | Beaten | Keep | Kept
-    | Hear | Tidings
-)  # fmt: skip
-
-SINCE: dict[type[Any], int] = {Hear: 2, Tidings: 2, Compare: 2, Compared: 2}  # others are of the first
-
-
-def since(frame: AnyFrame) -> int:
+PeerFrame = (
+    Greeting
+    | Ping
+    | Pong
+    | RaftFrame
+    | LeaseOperationRequest
+    | LeaseTableRequest
+    | MembershipChangeRequest
+    | QuorumReply
+    | ReplicationFrame
+    | ReplicaHeartbeat
+    | ReplicaHeartbeatReply
+    | CommitmentRequest
+    | CommitmentReply
+    | HealthReportSubscription
+    | HealthReportFrame
+)
+
+INTRODUCED_IN_VERSION: dict[type[Any], int] = {
+    HealthReportSubscription: 2,
+    HealthReportFrame: 2,
+    Compare: 2,
+    Compared: 2,
+}  # others are of the first
+
+
+def required_frame_version(frame: PeerFrame) -> int:
     """What a program has to speak to understand this."""
-    return SINCE.get(type(frame.word if isinstance(frame, Word) else frame), 1)
+    return INTRODUCED_IN_VERSION.get(type(frame.word if isinstance(frame, ReplicationFrame) else frame), 1)
 
 
-_FRAMES: msgspec.msgpack.Decoder[AnyFrame] = msgspec.msgpack.Decoder(AnyFrame)
+_FRAME_DECODER: msgspec.msgpack.Decoder[PeerFrame] = msgspec.msgpack.Decoder(PeerFrame)
 
 
-def encode(frame: AnyFrame) -> bytes:
+def encode(frame: PeerFrame) -> bytes:
     """Raises ValueError where it would be too long."""
     payload = msgspec.msgpack.encode(frame)
-    if len(payload) > LONGEST:
-        raise ValueError(f"a frame of {len(payload)} bytes; {LONGEST} at most")
-    return LENGTH.pack(len(payload)) + payload
+    if len(payload) > MAX_FRAME_BYTES:
+        raise ValueError(f"a frame of {len(payload)} bytes; {MAX_FRAME_BYTES} at most")
+    return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
-def take(data: memoryview) -> tuple[AnyFrame, int] | None:
+def decode_first(data: memoryview) -> tuple[PeerFrame, int] | None:
     """The first frame and how many bytes it took, or None if it is not whole yet. Raises BrokenPeer."""
-    if len(data) < LENGTH.size:
+    if len(data) < LENGTH_PREFIX.size:
         return None
-    (length,) = LENGTH.unpack_from(data)
-    if not 0 < length <= LONGEST:
-        raise PeerProtocolError(f"a frame of {length} bytes; {LONGEST} at most")
-    end = LENGTH.size + length
+    (length,) = LENGTH_PREFIX.unpack_from(data)
+    if not 0 < length <= MAX_FRAME_BYTES:
+        raise PeerProtocolError(f"a frame of {length} bytes; {MAX_FRAME_BYTES} at most")
+    end = LENGTH_PREFIX.size + length
     if len(data) < end:
         return None
     try:
-        return _FRAMES.decode(data[LENGTH.size : end]), end
+        return _FRAME_DECODER.decode(data[LENGTH_PREFIX.size : end]), end
     except (msgspec.MsgspecError, RecursionError) as error:
         raise PeerProtocolError(f"no frame: {error}") from error
--- a/lotusstream/quorum/bootstrap.py
+++ b/lotusstream/quorum/bootstrap.py
@@ -5,10 +5,10 @@
 
 from collections.abc import Sequence
 
-from lotusstream.quorum.messages import Heard, Hello, Member, Members, Snapshot
+from lotusstream.quorum.messages import JoinReply, JoinRequest, Member, Members, Snapshot
 
 
-def older_copy(mine: Hello, heard: Heard) -> bool:
+def is_older_copy(mine: JoinRequest, heard: JoinReply) -> bool:
     """Somebody has heard from this disk what it does not hold. An index counts only in the same term: later
     terms may rightly have cut it."""
     if heard.term != mine.term:
@@ -16,7 +16,7 @@
     return heard.index > mine.last or (heard.voted and not mine.vote)
 
 
-class Founding:
+class ClusterBootstrap:
     """An empty disk among the named keepers. A group is founded once, with all of them there and empty, by
     the first by name: whoever comes to a founded group is a new member of it."""
 
@@ -24,13 +24,13 @@
         self._name, self._disk, self._named = name, disk, tuple(sorted({*named, name}))
         self._empty: dict[str, str] = {name: disk}
 
-    def heard(self, sender: str, disk: str, told: Heard) -> Snapshot | None:
+    def heard(self, sender: str, disk: str, told: JoinReply) -> Snapshot | None:
         """What to begin with, once it is known: an index of 0, or nothing yet."""
         if told.members:
             self._empty.pop(sender, None)
             # a founder that has not heard of it yet, and so has promised nothing; whoever came later waits
             # for the leader: a change of members that is heard of may never be agreed on
-            mine = known(told.founders, self._disk) is not None
+            mine = find_member(told.founders, self._disk) is not None
             return Snapshot(0, 0, told.group, told.founders) if mine else None
         if sender in self._named:
             self._empty[sender] = disk
@@ -40,8 +40,8 @@
         return Snapshot(0, 0, f"{self._disk}-{len(members)}", members)
 
     def accepts(self, found: Snapshot) -> bool:
-        return known(found.members, self._disk) is not None
+        return find_member(found.members, self._disk) is not None
 
 
-def known(members: Members, disk: str) -> Member | None:
+def find_member(members: Members, disk: str) -> Member | None:
     return next((member for member in members if member.disk == disk), None)
--- a/lotusstream/quorum/events.py
+++ b/lotusstream/quorum/events.py
@@ -5,30 +5,30 @@
 
 from dataclasses import dataclass
 
-from lotusstream.quorum.messages import Envelope, Kind, Members, Record
+from lotusstream.quorum.messages import EntryKind, Members, RaftEnvelope, RaftRecord
 
 # Events
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class RaftTimeAdvanced:
     """Time has passed; due at `Keeper.next_at`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
-    envelope: Envelope
+class MessageReceived:
+    envelope: RaftEnvelope
 
 
 @dataclass(frozen=True, slots=True)
-class Persisted:
+class RecordsPersisted:
     """All records up to this Save are on the disk."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Propose:
+class ProposalSubmitted:
     """`ticket`: handed back with what becomes of it."""
 
     ticket: int
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ReadSubmitted:
     """Wants to know that all told before now is applied here."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChangeSubmitted:
     """Takes a keeper in as a learner that becomes a voter, or out. `disk` '' means whatever it has."""
 
     ticket: int
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compacted:
+class SnapshotTaken:
     """The machine's whole state after applying `index`."""
 
     index: int
@@ -61,42 +61,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class ShutdownRequested:
     """A planned stop: leadership is handed over."""
 
 
-Event = Tick | Received | Persisted | Propose | Read | Change | Compacted | Leave
+RaftEvent = (
+    RaftTimeAdvanced
+    | MessageReceived
+    | RecordsPersisted
+    | ProposalSubmitted
+    | ReadSubmitted
+    | MembershipChangeSubmitted
+    | SnapshotTaken
+    | ShutdownRequested
+)
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class Save:
+class PersistRecords:
     """Onto the disk, then Persisted. `rewrite`: in place of all that was there. What can't be written ends
     this keeper: another is begun from what the disk has."""
 
     number: int
-    records: tuple[Record, ...]
+    records: tuple[RaftRecord, ...]
     rewrite: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    envelope: Envelope
+class SendMessage:
+    envelope: RaftEnvelope
 
 
 @dataclass(frozen=True, slots=True)
-class Apply:
+class ApplyEntry:
     """A committed entry, each index once and in order. `ticket`: of the proposal, where it was made here."""
 
     index: int
-    kind: Kind
+    kind: EntryKind
     data: bytes
     ticket: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class Restore:
+class RestoreSnapshot:
     """The machine's state in place of whatever it has."""
 
     index: int
@@ -104,21 +113,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compact:
+class TakeSnapshot:
     """Asks for Compacted with the state as it is now."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class CompleteRequest:
     """All that was told before this ticket's Read is applied."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class FailRequest:
     """Nothing is known of this ticket's end, or it was refused. `leader`: whom to ask, if known. `maybe`:
     it may still be carried out."""
 
@@ -129,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Became:
+class ReportRoleChange:
     """For the log: what this keeper is now, and why."""
 
     role: str
@@ -139,9 +148,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewMembers:
+class ReportMembershipChange:
     index: int
     members: Members
 
 
-Action = Save | Say | Apply | Restore | Compact | Ready | Dropped | Became | NewMembers
+RaftAction = (
+    PersistRecords
+    | SendMessage
+    | ApplyEntry
+    | RestoreSnapshot
+    | TakeSnapshot
+    | CompleteRequest
+    | FailRequest
+    | ReportRoleChange
+    | ReportMembershipChange
+)
--- a/lotusstream/quorum/messages.py
+++ b/lotusstream/quorum/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     NOTHING = 0  # a leader's first entry: commits what earlier terms have left
     COMMAND = 1
     MEMBERS = 2
@@ -24,9 +24,9 @@
 Members = tuple[Member, ...]
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
+class LogEntry(msgspec.Struct, frozen=True, array_like=True):
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
 
 
@@ -43,44 +43,44 @@
 # Written down, in this order; a later record stands against an earlier one
 
 
-class Stored(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+class RecordBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
     pass
 
 
-class Identity(Stored, frozen=True, tag="disk"):
+class IncarnationRecord(RecordBase, frozen=True, tag="disk"):
     disk: str
 
 
-class Ballot(Stored, frozen=True, tag="ballot"):
+class VoteRecord(RecordBase, frozen=True, tag="ballot"):
     """The term, and who got this disk's vote in it: a member's disk, or ''."""
 
     term: int
     vote: str
 
 
-class Entries(Stored, frozen=True, tag="entries"):
+class EntriesRecord(RecordBase, frozen=True, tag="entries"):
     """From index `first` on; whatever stood there is gone."""
 
     first: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
-class Whole(Stored, frozen=True, tag="whole"):
+class SnapshotRecord(RecordBase, frozen=True, tag="whole"):
     """A snapshot in place of all entries."""
 
     snapshot: Snapshot
 
 
-Record = Identity | Ballot | Entries | Whole
+RaftRecord = IncarnationRecord | VoteRecord | EntriesRecord | SnapshotRecord
 
 # Told
 
 
-class Body(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+class MessageBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
     pass
 
 
-class Hello(Body, frozen=True, tag="hello"):
+class JoinRequest(MessageBase, frozen=True, tag="hello"):
     """Of a keeper that has just started: who are you, and what have you last heard from my disk?"""
 
     term: int
@@ -88,7 +88,7 @@
     vote: str = ""
 
 
-class Heard(Body, frozen=True, tag="heard"):
+class JoinReply(MessageBase, frozen=True, tag="heard"):
     """The answer. `founders`: whom the group was founded with, where that is still known; `members` is empty
     where no group is founded. `term`, `index`: the newest that this disk has told; `voted`: it gave the vote
     of that term to the one that answers."""
@@ -101,11 +101,11 @@
     voted: bool
 
 
-class Found(Body, frozen=True, tag="found"):
+class BootstrapCluster(MessageBase, frozen=True, tag="found"):
     snapshot: Snapshot
 
 
-class AskVote(Body, frozen=True, tag="ask"):
+class RequestVote(MessageBase, frozen=True, tag="ask"):
     """`pre`: only whether it would be given. `forced`: the leader wished it so."""
 
     term: int
@@ -115,23 +115,23 @@
     forced: bool = False
 
 
-class Vote(Body, frozen=True, tag="vote"):
+class VoteReply(MessageBase, frozen=True, tag="vote"):
     term: int
     granted: bool
     pre: bool
 
 
-class Append(Body, frozen=True, tag="append"):
+class AppendEntries(MessageBase, frozen=True, tag="append"):
     term: int
     prev_index: int
     prev_term: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     commit: int
     round: int
     durable: int  # what the leader itself has on its disk
 
 
-class Appended(Body, frozen=True, tag="appended"):
+class AppendReply(MessageBase, frozen=True, tag="appended"):
     """`index`: where both logs agree to, or, where they don't, what to try next; 0 asks for the snapshot.
     `last`: the end of the log that answers."""
 
@@ -142,7 +142,7 @@
     round: int
 
 
-class Install(Body, frozen=True, tag="install"):
+class InstallSnapshot(MessageBase, frozen=True, tag="install"):
     """A piece of a snapshot, from byte `offset` of its state on; `size`: all of it."""
 
     term: int
@@ -153,7 +153,7 @@
     round: int
 
 
-class Installed(Body, frozen=True, tag="installed"):
+class InstallSnapshotReply(MessageBase, frozen=True, tag="installed"):
     """`have`: bytes of the state that are there; all of them once it is taken."""
 
     term: int
@@ -163,16 +163,27 @@
     round: int
 
 
-class HandOver(Body, frozen=True, tag="handover"):
+class TimeoutNow(MessageBase, frozen=True, tag="handover"):
     """Stand for election at once."""
 
     term: int
 
 
-AnyBody = Hello | Heard | Found | AskVote | Vote | Append | Appended | Install | Installed | HandOver
+RaftMessage = (
+    JoinRequest
+    | JoinReply
+    | BootstrapCluster
+    | RequestVote
+    | VoteReply
+    | AppendEntries
+    | AppendReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+)
 
 
-class Envelope(msgspec.Struct, frozen=True, array_like=True):
+class RaftEnvelope(msgspec.Struct, frozen=True, array_like=True):
     """`to_disk`: '' where it is not known. `group`: '' before there is one."""
 
     sender: str
@@ -180,4 +191,4 @@
     to: str
     to_disk: str
     group: str
-    body: AnyBody
+    body: RaftMessage
--- a/lotusstream/quorum/node.py
+++ b/lotusstream/quorum/node.py
@@ -13,8 +13,8 @@
 
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.bootstrap import Founding, known, older_copy
-from lotusstream.quorum.replicated_log import Journal, OnDisk, write_members
+from lotusstream.quorum.bootstrap import ClusterBootstrap, find_member, is_older_copy
+from lotusstream.quorum.replicated_log import PersistedState, ReplicatedLog, encode_members
 
 EMPTY, FOLLOWER, ASKING, CANDIDATE, LEADER = "empty", "follower", "asking", "candidate", "leader"
 
@@ -57,7 +57,7 @@
 class PendingWrite:
     number: int
     last: int
-    rests: list[ms.Envelope] = field(default_factory=list)  # may leave once it is on the disk
+    rests: list[ms.RaftEnvelope] = field(default_factory=list)  # may leave once it is on the disk
 
 
 class RaftNode:
@@ -67,7 +67,7 @@
     def __init__(
         self,
         name: str,
-        on_disk: OnDisk,
+        on_disk: PersistedState,
         fresh: str,
         named: Sequence[str],
         pace: RaftTiming,
@@ -76,13 +76,13 @@
     ) -> None:
         self.name, self.pace, self._fresh, self._named = name, pace, fresh, tuple(named)
         self.disk, self.term, self.vote = on_disk.disk, on_disk.term, on_disk.vote
-        self._empty = Journal(ms.Snapshot(0, 0, "", ()))
+        self._empty = ReplicatedLog(ms.Snapshot(0, 0, "", ()))
         self.journal = on_disk.journal or self._empty
         self.role = FOLLOWER if on_disk.journal else EMPTY
         self.leader, self.commit, self.applied = "", self.journal.snapshot.index, self.journal.snapshot.index
-        self._founding = Founding(name, self.disk, named)
+        self._founding = ClusterBootstrap(name, self.disk, named)
         self._seed, self._draws = seed, 0
-        self._now, self._out = now, list[ev.Action]()
+        self._now, self._out = now, list[ev.RaftAction]()
         self._heard_leader: int | None = None
         self._proven = False  # that this disk is no older copy
         self._answered: dict[str, bool] = {}
@@ -99,7 +99,7 @@
         self._newcomers: dict[str, tuple[str, int]] = {}  # by name: disk, when it last said hello
         self._handing: tuple[str, int] | None = None  # to whom, until when
         self._saves: deque[PendingWrite] = deque()
-        self._pending: list[ms.Record] = []
+        self._pending: list[ms.RaftRecord] = []
         self._rewrite = False
         self._number = 0
         self._durable = self.journal.last
@@ -109,27 +109,27 @@
 
     # The one entry
 
-    def handle(self, now: int, event: ev.Event) -> list[ev.Action]:
+    def handle(self, now: int, event: ev.RaftEvent) -> list[ev.RaftAction]:
         self._now, self._out = max(now, self._now), []
         if self._first:
             self._first = False
-            self._out.append(ev.Restore(self.journal.snapshot.index, self.journal.snapshot.state))
+            self._out.append(ev.RestoreSnapshot(self.journal.snapshot.index, self.journal.snapshot.state))
             if not self.disk:
                 self._renew_disk()
         match event:
-            case ev.Received(envelope):
+            case ev.MessageReceived(envelope):
                 self._receive(envelope)
-            case ev.Persisted(number):
+            case ev.RecordsPersisted(number):
                 self._persisted(number)
-            case ev.Propose(ticket, data):
+            case ev.ProposalSubmitted(ticket, data):
                 self._propose(ticket, data)
-            case ev.Read(ticket):
+            case ev.ReadSubmitted(ticket):
                 self._read(ticket)
-            case ev.Change(ticket, name, add, disk):
+            case ev.MembershipChangeSubmitted(ticket, name, add, disk):
                 self._change(ticket, name, add, disk)
-            case ev.Compacted(index, state):
+            case ev.SnapshotTaken(index, state):
                 self._compact(index, state)
-            case ev.Leave():
+            case ev.ShutdownRequested():
                 self._leave()
         self._pass_time()
         if self.role == LEADER:
@@ -167,18 +167,18 @@
         lot = zlib.crc32(lot.to_bytes(4, "big") + b"spread")
         return self.pace.election + lot * self.pace.election // 2**32
 
-    def _save(self, *records: ms.Record) -> None:
+    def _save(self, *records: ms.RaftRecord) -> None:
         self._pending += records
 
-    def _say(self, to: str, to_disk: str, body: ms.AnyBody, *, rests: bool) -> None:
+    def _say(self, to: str, to_disk: str, body: ms.RaftMessage, *, rests: bool) -> None:
         """`rests`: on what is not on the disk yet; it leaves once that is."""
-        envelope = ms.Envelope(self.name, self.disk, to, to_disk, self.group, body)
+        envelope = ms.RaftEnvelope(self.name, self.disk, to, to_disk, self.group, body)
         if rests and self._pending:
             self._open_save().rests.append(envelope)
         elif rests and self._saves:
             self._saves[-1].rests.append(envelope)
         else:
-            self._out.append(ev.Say(envelope))
+            self._out.append(ev.SendMessage(envelope))
 
     def _open_save(self) -> PendingWrite:
         """The save that this turn will ask for."""
@@ -192,14 +192,14 @@
         saving = self._open_save()
         saving.last = self.journal.last
         self._number += 1
-        self._out.append(ev.Save(self._number, tuple(self._pending), self._rewrite))
+        self._out.append(ev.PersistRecords(self._number, tuple(self._pending), self._rewrite))
         self._pending, self._rewrite = [], False
 
     def _persisted(self, number: int) -> None:
         while self._saves and self._saves[0].number <= number:
             saving = self._saves.popleft()
             self._durable = saving.last
-            self._out += map(ev.Say, saving.rests)
+            self._out += map(ev.SendMessage, saving.rests)
         if self.role == LEADER:
             self._advance()
         elif self.role == CANDIDATE:
@@ -210,14 +210,14 @@
         self.disk, self.term, self.vote = self._fresh, 0, ""
         self.journal, self.role, self.leader = self._empty, EMPTY, ""
         self.commit = self.applied = 0
-        self._founding = Founding(self.name, self.disk, self._named)
+        self._founding = ClusterBootstrap(self.name, self.disk, self._named)
         self._installing, self._answered, self._proven = None, {}, False
         self._saves.clear()
-        self._pending, self._rewrite = [ms.Identity(self.disk), ms.Ballot(0, "")], True
-        self._out.append(ev.Restore(0, b""))
+        self._pending, self._rewrite = [ms.IncarnationRecord(self.disk), ms.VoteRecord(0, "")], True
+        self._out.append(ev.RestoreSnapshot(0, b""))
 
     def _became(self, why: str) -> None:
-        self._out.append(ev.Became(self.role, self.term, self.leader, why))
+        self._out.append(ev.ReportRoleChange(self.role, self.term, self.leader, why))
 
     # Time
 
@@ -239,10 +239,10 @@
                 self._ask_before("no leader was heard")
 
     def _newcomer(self) -> bool:
-        return self.role not in (EMPTY, LEADER) and known(self.members, self.disk) is None
+        return self.role not in (EMPTY, LEADER) and find_member(self.members, self.disk) is None
 
     def _votes_here(self) -> bool:
-        mine = known(self.members, self.disk)
+        mine = find_member(self.members, self.disk)
         return mine is not None and mine.voter
 
     def _voters(self) -> list[ms.Member]:
@@ -262,7 +262,7 @@
     # Starting: hello
 
     def _hello(self) -> None:
-        body = ms.Hello(self.term, self.journal.last, self.vote)
+        body = ms.JoinRequest(self.term, self.journal.last, self.vote)
         others = {member.name: member.disk for member in self.members if member.name != self.name}
         others |= {name: others.get(name, "") for name in self._named if name != self.name}
         for name in sorted(others):
@@ -270,28 +270,28 @@
         if self.role != EMPTY:
             self._prove()
 
-    def _said_hello(self, envelope: ms.Envelope, hello: ms.Hello) -> None:
+    def _said_hello(self, envelope: ms.RaftEnvelope, hello: ms.JoinRequest) -> None:
         body = self._heard_of(envelope.disk, hello.term)
         self._say(envelope.sender, envelope.disk, body, rests=self.role == EMPTY)
-        if envelope.sender in self._named and known(self.members, envelope.disk) is None:
+        if envelope.sender in self._named and find_member(self.members, envelope.disk) is None:
             self._newcomers[envelope.sender] = (envelope.disk, self._now)
 
-    def _heard_of(self, disk: str, term: int) -> ms.Heard:
+    def _heard_of(self, disk: str, term: int) -> ms.JoinReply:
         heard, index, voted = self._told.get(disk, (0, 0, False))
         first = self.journal.snapshot
         founders = first.members if not first.index else ()
-        return ms.Heard(self.group, founders, self.members, heard, index, voted and heard == term)
+        return ms.JoinReply(self.group, founders, self.members, heard, index, voted and heard == term)
 
-    def _heard(self, envelope: ms.Envelope, heard: ms.Heard) -> None:
+    def _heard(self, envelope: ms.RaftEnvelope, heard: ms.JoinReply) -> None:
         if self.role == EMPTY:
             found = self._founding.heard(envelope.sender, envelope.disk, heard)
             if found is not None:
                 self._begin(found)
                 for member in found.members if not heard.members else ():
                     if member.disk != self.disk:
-                        self._say(member.name, member.disk, ms.Found(found), rests=True)
+                        self._say(member.name, member.disk, ms.BootstrapCluster(found), rests=True)
             return
-        if older_copy(ms.Hello(self.term, self.journal.last, self.vote), heard):
+        if is_older_copy(ms.JoinRequest(self.term, self.journal.last, self.vote), heard):
             self._renew_disk()
             self._became(f"{envelope.sender} has heard more from this disk than it holds: an older copy")
             return
@@ -310,48 +310,48 @@
             self._election_at = self._now + self._draw()
 
     def _begin(self, found: ms.Snapshot) -> None:
-        self.journal, self.role, self._proven = Journal(found), FOLLOWER, True
-        self._save(ms.Whole(found))
+        self.journal, self.role, self._proven = ReplicatedLog(found), FOLLOWER, True
+        self._save(ms.SnapshotRecord(found))
         self._election_at = self._now + self._draw()
         self._became("the group is founded")
 
     # Receiving
 
-    def _receive(self, envelope: ms.Envelope) -> None:
+    def _receive(self, envelope: ms.RaftEnvelope) -> None:
         if envelope.to != self.name or (envelope.to_disk and envelope.to_disk != self.disk):
             return  # meant for the disk that was here before
         body = envelope.body
         match body:
-            case ms.Hello():
+            case ms.JoinRequest():
                 return self._said_hello(envelope, body)
-            case ms.Heard():
+            case ms.JoinReply():
                 return self._heard(envelope, body)
-            case ms.Found(snapshot):
+            case ms.BootstrapCluster(snapshot):
                 if self.role == EMPTY and self._founding.accepts(snapshot):
                     self._begin(snapshot)
                 return None
         if self.group and envelope.group and envelope.group != self.group:  # newcomers have none yet
             return None
         match body:
-            case ms.AskVote():
+            case ms.RequestVote():
                 self._asked(envelope, body)
-            case ms.Vote():
+            case ms.VoteReply():
                 self._voted(envelope, body)
-            case ms.Append():
+            case ms.AppendEntries():
                 self._append(envelope, body)
-            case ms.Appended():
+            case ms.AppendReply():
                 self._appended(envelope, body)
-            case ms.Install():
+            case ms.InstallSnapshot():
                 self._install(envelope, body)
-            case ms.Installed():
+            case ms.InstallSnapshotReply():
                 self._installed(envelope, body)
-            case ms.HandOver(term):
+            case ms.TimeoutNow(term):
                 if term == self.term and self._proven and self._votes_here() and self.role != LEADER:
                     self._stand("the leader hands over", forced=True)
 
     def _new_term(self, term: int) -> None:
         self.term, self.vote = term, ""
-        self._save(ms.Ballot(term, ""))
+        self._save(ms.VoteRecord(term, ""))
 
     def _follow(self, term: int, leader: str, why: str) -> None:
         was = (self.role, self.leader)
@@ -367,11 +367,11 @@
 
     def _give_up(self, why: str) -> None:
         for index in sorted(self._tickets):
-            self._out.append(ev.Dropped(self._tickets[index], why, "", True))
+            self._out.append(ev.FailRequest(self._tickets[index], why, "", True))
         for reading in self._readings:
-            self._out.append(ev.Dropped(reading.ticket, why, "", False))
+            self._out.append(ev.FailRequest(reading.ticket, why, "", False))
         if self._wish is not None and self._wish[0] >= 0:
-            self._out.append(ev.Dropped(self._wish[0], why, "", True))
+            self._out.append(ev.FailRequest(self._wish[0], why, "", True))
         self._tickets, self._readings, self._wish, self._handing = {}, [], None, None
         self._followers = {}
 
@@ -387,25 +387,25 @@
     def _stand(self, why: str, forced: bool = False) -> None:
         self.role, self.leader = CANDIDATE, ""
         self.term, self.vote = self.term + 1, self.disk
-        self._save(ms.Ballot(self.term, self.vote))
+        self._save(ms.VoteRecord(self.term, self.vote))
         self._votes = {self.disk}
         self._election_at = self._now + self._draw()
         self._became(why)
         self._ask(self.term, pre=False, forced=forced)
 
     def _ask(self, term: int, *, pre: bool, forced: bool) -> None:
-        body = ms.AskVote(term, self.journal.last, self.journal.last_term, pre, forced)
+        body = ms.RequestVote(term, self.journal.last, self.journal.last_term, pre, forced)
         for member in self._voters():
             if member.disk != self.disk:
                 self._say(member.name, member.disk, body, rests=True)
 
-    def _asked(self, envelope: ms.Envelope, ask: ms.AskVote) -> None:
+    def _asked(self, envelope: ms.RaftEnvelope, ask: ms.RequestVote) -> None:
         if self.role == EMPTY or not self._proven:
             return
         near = self._heard_leader is not None and self._now - self._heard_leader < self.pace.election
         if not ask.forced and (self.role == LEADER or near):
             if ask.term < self.term:
-                self._say(envelope.sender, envelope.disk, ms.Vote(self.term, False, ask.pre), rests=True)
+                self._say(envelope.sender, envelope.disk, ms.VoteReply(self.term, False, ask.pre), rests=True)
             return  # there is a leader: whoever was cut off may not push it out
         if not ask.pre and ask.term > self.term:
             self._follow(ask.term, "", f"{envelope.sender} stands for election")
@@ -415,18 +415,18 @@
             self._say(
                 envelope.sender,
                 envelope.disk,
-                ms.Vote(ask.term if granted else self.term, granted, True),
+                ms.VoteReply(ask.term if granted else self.term, granted, True),
                 rests=True,
             )
             return
         granted = good and ask.term == self.term and self.vote in ("", envelope.disk)
         if granted and not self.vote:
             self.vote = envelope.disk
-            self._save(ms.Ballot(self.term, self.vote))
+            self._save(ms.VoteRecord(self.term, self.vote))
             self._election_at = self._now + self._draw()
-        self._say(envelope.sender, envelope.disk, ms.Vote(self.term, granted, False), rests=True)
+        self._say(envelope.sender, envelope.disk, ms.VoteReply(self.term, granted, False), rests=True)
 
-    def _voted(self, envelope: ms.Envelope, vote: ms.Vote) -> None:
+    def _voted(self, envelope: ms.RaftEnvelope, vote: ms.VoteReply) -> None:
         if not vote.granted:
             if vote.term > self.term:
                 self._follow(vote.term, "", f"{envelope.sender} is in a later term")
@@ -462,25 +462,25 @@
         self._durable = self.journal.last
         self._tickets, self._readings = {}, []
         self._became("elected")
-        self._add(ms.Entry(self.term, ms.Kind.NOTHING))
+        self._add(ms.LogEntry(self.term, ms.EntryKind.NOTHING))
         self._beat()
 
-    def _add(self, entry: ms.Entry) -> int:
+    def _add(self, entry: ms.LogEntry) -> int:
         self.journal.extend((entry,))
-        self._save(ms.Entries(self.journal.last, (entry,)))
+        self._save(ms.EntriesRecord(self.journal.last, (entry,)))
         return self.journal.last
 
     def _propose(self, ticket: int, data: bytes) -> None:
         if self.role != LEADER or self._handing is not None:
-            self._out.append(ev.Dropped(ticket, "not the leader", self.leader, False))
+            self._out.append(ev.FailRequest(ticket, "not the leader", self.leader, False))
         elif len(self._tickets) >= self.pace.open:
-            self._out.append(ev.Dropped(ticket, "too much is open", self.name, False))
+            self._out.append(ev.FailRequest(ticket, "too much is open", self.name, False))
         else:
-            self._tickets[self._add(ms.Entry(self.term, ms.Kind.COMMAND, data))] = ticket
+            self._tickets[self._add(ms.LogEntry(self.term, ms.EntryKind.COMMAND, data))] = ticket
 
     def _read(self, ticket: int) -> None:
         if self.role != LEADER:
-            self._out.append(ev.Dropped(ticket, "not the leader", self.leader, False))
+            self._out.append(ev.FailRequest(ticket, "not the leader", self.leader, False))
             return
         self._readings.append(ReadIndexRequest(ticket, self._round + 1, 0))
         self._beat_at = self._now
@@ -520,7 +520,7 @@
         entries = () if follower.out else self.journal.after(prev, self.pace.batch)
         if entries:
             follower.out, follower.sent, follower.upto = True, self._now, prev + len(entries)
-        body = ms.Append(self.term, prev, term, entries, self.commit, self._round, self._durable)
+        body = ms.AppendEntries(self.term, prev, term, entries, self.commit, self._round, self._durable)
         self._say(member.name, member.disk, body, rests=False)
 
     def _send_snapshot(self, member: ms.Member, follower: Follower) -> None:
@@ -530,10 +530,10 @@
         piece = snapshot.state[follower.have : follower.have + self.pace.batch]
         bare = ms.Snapshot(snapshot.index, snapshot.term, snapshot.group, snapshot.members)
         follower.out, follower.sent = True, self._now
-        body = ms.Install(self.term, bare, follower.have, len(snapshot.state), piece, self._round)
+        body = ms.InstallSnapshot(self.term, bare, follower.have, len(snapshot.state), piece, self._round)
         self._say(member.name, member.disk, body, rests=False)
 
-    def _answer(self, envelope: ms.Envelope, term: int, round: int) -> Follower | None:
+    def _answer(self, envelope: ms.RaftEnvelope, term: int, round: int) -> Follower | None:
         """The follower that an answer of this term came from."""
         if term > self.term:
             self._follow(term, "", f"{envelope.sender} is in a later term")
@@ -544,7 +544,7 @@
             follower.round = max(follower.round, round)
         return follower
 
-    def _appended(self, envelope: ms.Envelope, told: ms.Appended) -> None:
+    def _appended(self, envelope: ms.RaftEnvelope, told: ms.AppendReply) -> None:
         if told.ok:
             self._remember(envelope.disk, told.term, told.index)
         if (follower := self._answer(envelope, told.term, told.round)) is None:
@@ -560,7 +560,7 @@
         follower.out = False
         follower.next = max(follower.match + 1, min(told.index, follower.next - 1)) if told.index else 0
 
-    def _installed(self, envelope: ms.Envelope, told: ms.Installed) -> None:
+    def _installed(self, envelope: ms.RaftEnvelope, told: ms.InstallSnapshotReply) -> None:
         if (follower := self._answer(envelope, told.term, told.round)) is None:
             return
         if told.index != self.journal.snapshot.index or told.index != follower.installing:
@@ -594,24 +594,26 @@
         while self.applied < self.commit:
             self.applied += 1
             entry = self.journal.entry(self.applied)
-            if entry.kind == ms.Kind.MEMBERS:
-                self._out.append(ev.NewMembers(self.applied, self.journal.members_at(self.applied)))
+            if entry.kind == ms.EntryKind.MEMBERS:
+                self._out.append(
+                    ev.ReportMembershipChange(self.applied, self.journal.members_at(self.applied))
+                )
             ticket = self._tickets.pop(self.applied, None)
-            self._out.append(ev.Apply(self.applied, entry.kind, entry.data, ticket))
+            self._out.append(ev.ApplyEntry(self.applied, entry.kind, entry.data, ticket))
         if self.role == LEADER:
             if self._readings and self.journal.term(self.commit) == self.term:
                 self._serve_readings()
-            if known(self.members, self.disk) is None and self.journal.members_index <= self.commit:
+            if find_member(self.members, self.disk) is None and self.journal.members_index <= self.commit:
                 self._follow(self.term, "", "no member any more")
         if self.applied - self.journal.snapshot.index >= self.pace.kept:
-            self._out.append(ev.Compact(self.applied))
+            self._out.append(ev.TakeSnapshot(self.applied))
 
     def _serve_readings(self) -> None:
         left = []
         for reading in self._readings:
             near = {disk for disk, each in self._followers.items() if each.round >= reading.round}
             if self._majority(near | {self.disk}):
-                self._out.append(ev.Ready(reading.ticket))
+                self._out.append(ev.CompleteRequest(reading.ticket))
             else:
                 left.append(reading)
         self._readings = left
@@ -621,11 +623,13 @@
             return
         self.journal.compact(index, state)
         self._pending, self._rewrite = [], True
-        self._save(ms.Identity(self.disk), ms.Ballot(self.term, self.vote), *self.journal.records())
+        self._save(
+            ms.IncarnationRecord(self.disk), ms.VoteRecord(self.term, self.vote), *self.journal.records()
+        )
 
     # Following
 
-    def _led(self, envelope: ms.Envelope, term: int) -> bool:
+    def _led(self, envelope: ms.RaftEnvelope, term: int) -> bool:
         if term < self.term:
             return False
         if term > self.term or self.role != FOLLOWER or self.leader != envelope.sender:
@@ -634,14 +638,14 @@
         self._election_at = self._now + self._draw()
         return True
 
-    def _append(self, envelope: ms.Envelope, told: ms.Append) -> None:
+    def _append(self, envelope: ms.RaftEnvelope, told: ms.AppendEntries) -> None:
         if self.role == EMPTY:  # a newcomer: it has nothing that entries could follow
             self._say(
-                envelope.sender, envelope.disk, ms.Appended(told.term, False, 0, 0, told.round), rests=True
+                envelope.sender, envelope.disk, ms.AppendReply(told.term, False, 0, 0, told.round), rests=True
             )
             return
         if not self._led(envelope, told.term):
-            self._say(envelope.sender, envelope.disk, ms.Appended(self.term, False, 0, 0, 0), rests=True)
+            self._say(envelope.sender, envelope.disk, ms.AppendReply(self.term, False, 0, 0, 0), rests=True)
             return
         self._remember(envelope.disk, told.term, told.durable)
         prev, entries = told.prev_index, told.entries
@@ -653,7 +657,7 @@
             agrees = self.journal.term(prev) == told.prev_term
         if not agrees:
             back = self.journal.last + 1 if prev > self.journal.last else self.journal.conflict(prev)
-            body = ms.Appended(self.term, False, back, self.journal.last, told.round)
+            body = ms.AppendReply(self.term, False, back, self.journal.last, told.round)
             self._say(envelope.sender, envelope.disk, body, rests=True)
             return
         at = prev
@@ -664,23 +668,25 @@
             if at <= self.journal.last:
                 self.journal.cut(at)
             self.journal.extend(entries[place:])
-            self._save(ms.Entries(at, tuple(entries[place:])))
+            self._save(ms.EntriesRecord(at, tuple(entries[place:])))
             break
         at = prev + len(entries)
         self.commit = max(self.commit, min(told.commit, at))
-        body = ms.Appended(self.term, True, at, self.journal.last, told.round)
+        body = ms.AppendReply(self.term, True, at, self.journal.last, told.round)
         self._say(envelope.sender, envelope.disk, body, rests=True)
 
-    def _install(self, envelope: ms.Envelope, told: ms.Install) -> None:
+    def _install(self, envelope: ms.RaftEnvelope, told: ms.InstallSnapshot) -> None:
         if self.role == EMPTY:
             if told.term > self.term:
                 self._new_term(told.term)
         elif not self._led(envelope, told.term):
-            self._say(envelope.sender, envelope.disk, ms.Installed(self.term, 0, 0, False, 0), rests=True)
+            self._say(
+                envelope.sender, envelope.disk, ms.InstallSnapshotReply(self.term, 0, 0, False, 0), rests=True
+            )
             return
         bare = told.snapshot
         if self.role != EMPTY and bare.index <= self.commit:
-            body = ms.Installed(self.term, bare.index, told.size, True, told.round)
+            body = ms.InstallSnapshotReply(self.term, bare.index, told.size, True, told.round)
             self._say(envelope.sender, envelope.disk, body, rests=True)
             return
         if self._installing is None or self._installing[0] != bare:
@@ -691,7 +697,7 @@
         done = len(have) >= told.size
         if done:
             self._take(ms.Snapshot(bare.index, bare.term, bare.group, bare.members, bytes(have)))
-        body = ms.Installed(self.term, bare.index, len(have), done, told.round)
+        body = ms.InstallSnapshotReply(self.term, bare.index, len(have), done, told.round)
         self._say(envelope.sender, envelope.disk, body, rests=True)
 
     def _take(self, snapshot: ms.Snapshot) -> None:
@@ -699,34 +705,38 @@
         if not was_empty and self.journal.term(snapshot.index) == snapshot.term:
             self.journal.compact(snapshot.index, snapshot.state)
         else:
-            self.journal = Journal(snapshot)
+            self.journal = ReplicatedLog(snapshot)
         if was_empty:
             self.role, self._proven = FOLLOWER, True
             self._became("taken into the group")
         self.commit = self.applied = snapshot.index
         self._pending, self._rewrite = [], True
-        self._save(ms.Identity(self.disk), ms.Ballot(self.term, self.vote), *self.journal.records())
-        self._out.append(ev.Restore(snapshot.index, snapshot.state))
-        self._out.append(ev.NewMembers(snapshot.index, snapshot.members))
+        self._save(
+            ms.IncarnationRecord(self.disk), ms.VoteRecord(self.term, self.vote), *self.journal.records()
+        )
+        self._out.append(ev.RestoreSnapshot(snapshot.index, snapshot.state))
+        self._out.append(ev.ReportMembershipChange(snapshot.index, snapshot.members))
 
     # Members and leaving
 
     def _change(self, ticket: int, name: str, add: bool, disk: str) -> None:
         if self.role != LEADER:
-            self._out.append(ev.Dropped(ticket, "not the leader", self.leader, False))
+            self._out.append(ev.FailRequest(ticket, "not the leader", self.leader, False))
         elif self._wish is not None:
-            self._out.append(ev.Dropped(ticket, "another change of keepers is under way", self.name, False))
+            self._out.append(
+                ev.FailRequest(ticket, "another change of keepers is under way", self.name, False)
+            )
         else:
             disk = disk or self._newcomers.get(name, ("", 0))[0]
             there = next((each for each in self.members if each.name == name), None)
             if add and not disk and there is None:
                 why = f"'{name}' has not been heard of: start it first"
-                self._out.append(ev.Dropped(ticket, why, self.name, False))
+                self._out.append(ev.FailRequest(ticket, why, self.name, False))
             elif (there is None) != add and not (add and there and disk and disk != there.disk):
                 why = f"'{name}' is {'a' if add else 'no'} keeper already"
-                self._out.append(ev.Dropped(ticket, why, self.name, False))
+                self._out.append(ev.FailRequest(ticket, why, self.name, False))
             elif not add and len(self._voters()) == 1:
-                self._out.append(ev.Dropped(ticket, "the last voter has to stay", self.name, False))
+                self._out.append(ev.FailRequest(ticket, "the last voter has to stay", self.name, False))
             else:
                 self._wish = (ticket, name, disk, add)
 
@@ -750,7 +760,7 @@
             if self._now - since > self.pace.election:
                 continue
             there = next((each for each in self.members if each.name == name), None)
-            if known(self.members, disk) is None and there is not None and there.disk != self.disk:
+            if find_member(self.members, disk) is None and there is not None and there.disk != self.disk:
                 follower = self._followers.get(there.disk)
                 if follower is None or self._now - follower.heard < self.pace.election:
                     continue  # its old disk answers: the hello was late, or two go by one name
@@ -774,18 +784,18 @@
             self._set((*rest, ms.Member(name, disk, False)))
         else:
             if ticket >= 0:
-                self._out.append(ev.Ready(ticket))
+                self._out.append(ev.CompleteRequest(ticket))
             self._wish = None
 
     def _end_wish(self, why: str) -> None:
         if self._wish is not None and self._wish[0] >= 0:
-            self._out.append(ev.Dropped(self._wish[0], why, self.name, False))
+            self._out.append(ev.FailRequest(self._wish[0], why, self.name, False))
         self._wish = None
 
     def _set(self, members: ms.Members) -> None:
-        self._add(ms.Entry(self.term, ms.Kind.MEMBERS, write_members(members)))
+        self._add(ms.LogEntry(self.term, ms.EntryKind.MEMBERS, encode_members(members)))
         self._followers = {
-            disk: each for disk, each in self._followers.items() if known(members, disk) is not None
+            disk: each for disk, each in self._followers.items() if find_member(members, disk) is not None
         }
 
     def _others(self) -> list[ms.Member]:
@@ -803,6 +813,6 @@
             if best is None:
                 return
             self._handing = (best.disk, self._now + self.pace.election)
-        member = known(self.members, self._handing[0])
+        member = find_member(self.members, self._handing[0])
         if member is not None and self._match(member.disk) == self.journal.last:
-            self._say(member.name, member.disk, ms.HandOver(self.term), rests=False)
+            self._say(member.name, member.disk, ms.TimeoutNow(self.term), rests=False)
--- a/lotusstream/quorum/replicated_log.py
+++ b/lotusstream/quorum/replicated_log.py
@@ -7,31 +7,31 @@
 import msgspec
 
 from lotusstream.quorum.messages import (
-    Ballot,
-    Entries,
-    Entry,
-    Identity,
-    Kind,
+    EntriesRecord,
+    EntryKind,
+    IncarnationRecord,
+    LogEntry,
     Member,
     Members,
-    Record,
+    RaftRecord,
     Snapshot,
-    Whole,
+    SnapshotRecord,
+    VoteRecord,
 )
 
-_MEMBERS: msgspec.msgpack.Decoder[tuple[Member, ...]] = msgspec.msgpack.Decoder(tuple[Member, ...])
+_MEMBERS_DECODER: msgspec.msgpack.Decoder[tuple[Member, ...]] = msgspec.msgpack.Decoder(tuple[Member, ...])
 
 
-def write_members(members: Members) -> bytes:
+def encode_members(members: Members) -> bytes:
     return msgspec.msgpack.encode(members)
 
 
-class Journal:
+class ReplicatedLog:
     """Indexes count from 1; index 0 is a founding."""
 
-    def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
+    def __init__(self, snapshot: Snapshot, entries: Iterable[LogEntry] = ()) -> None:
         self.snapshot = snapshot
-        self._entries = list[Entry]()
+        self._entries = list[LogEntry]()
         self._members: list[tuple[int, Members]] = [(snapshot.index, snapshot.members)]
         self.extend(entries)
 
@@ -62,23 +62,23 @@
         at = index - self.snapshot.index - 1
         return self._entries[at].term if 0 <= at < len(self._entries) else None
 
-    def entry(self, index: int) -> Entry:
+    def entry(self, index: int) -> LogEntry:
         return self._entries[index - self.snapshot.index - 1]
 
-    def after(self, index: int, most: int) -> tuple[Entry, ...]:
+    def after(self, index: int, most: int) -> tuple[LogEntry, ...]:
         """What follows an index, up to so many bytes, and one entry at least."""
-        at, size, found = index - self.snapshot.index, 0, list[Entry]()
+        at, size, found = index - self.snapshot.index, 0, list[LogEntry]()
         while at < len(self._entries) and (not found or size + len(self._entries[at].data) <= most):
             found.append(self._entries[at])
             size += len(self._entries[at].data) + 8
             at += 1
         return tuple(found)
 
-    def extend(self, entries: Iterable[Entry]) -> None:
+    def extend(self, entries: Iterable[LogEntry]) -> None:
         for entry in entries:
             self._entries.append(entry)
-            if entry.kind == Kind.MEMBERS:
-                self._members.append((self.last, _MEMBERS.decode(entry.data)))
+            if entry.kind == EntryKind.MEMBERS:
+                self._members.append((self.last, _MEMBERS_DECODER.decode(entry.data)))
 
     def cut(self, first: int) -> None:
         """Forgets index `first` and all behind it."""
@@ -102,28 +102,28 @@
             index -= 1
         return index
 
-    def records(self) -> tuple[Record, ...]:
-        found: list[Record] = [Whole(self.snapshot)]
+    def records(self) -> tuple[RaftRecord, ...]:
+        found: list[RaftRecord] = [SnapshotRecord(self.snapshot)]
         if self._entries:
-            found.append(Entries(self.snapshot.index + 1, tuple(self._entries)))
+            found.append(EntriesRecord(self.snapshot.index + 1, tuple(self._entries)))
         return tuple(found)
 
 
-class OnDisk:
+class PersistedState:
     """What a disk holds, folded from its records. `journal` is None where no group was founded there."""
 
-    def __init__(self, records: Sequence[Record]) -> None:
+    def __init__(self, records: Sequence[RaftRecord]) -> None:
         self.disk, self.term, self.vote = "", 0, ""
-        self.journal: Journal | None = None
+        self.journal: ReplicatedLog | None = None
         for record in records:
             match record:
-                case Identity(disk):
+                case IncarnationRecord(disk):
                     self.disk = disk
-                case Ballot(term, vote):
+                case VoteRecord(term, vote):
                     self.term, self.vote = term, vote
-                case Whole(snapshot):
-                    self.journal = Journal(snapshot)
-                case Entries(first, entries):
+                case SnapshotRecord(snapshot):
+                    self.journal = ReplicatedLog(snapshot)
+                case EntriesRecord(first, entries):
                     if (
                         self.journal is None
                         or not self.journal.snapshot.index < first <= self.journal.last + 1
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,7 +11,7 @@
 from lotusstream.lab.fleet.lock_clients import Asker
 from lotusstream.lab.fleet.relay import Manner
 from lotusstream.lab.fleet.rig import FleetRig, Lost, held_port
-from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.granter import LeaseTiming
 from lotusstream.net.actor import Supervisor
 from lotusstream.protocol import control as wire
 
@@ -416,7 +416,7 @@
 async def test_two_hundred_gateways_ask_for_one_lease_in_the_same_second(fleet):
     rig = await fleet(3, 3, tasks=())
     await all_vote(rig)
-    terms = LeaseTerms(2_000_000, 250_000, 0.05)
+    terms = LeaseTiming(2_000_000, 250_000, 0.05)
     supervisor = Supervisor()
     askers = [Asker(f"c{at}", rig.group, rig.ports, "one", terms, supervisor) for at in range(200)]
     for asker in askers:
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -21,10 +21,10 @@
 from lotusstream.net.copies import _RECORDS as COPY_RECORD_DECODER
 from lotusstream.net.copies import Identity as CopiesIdentity
 from lotusstream.net.moves import _STEPS as MOVE_DECODER
-from lotusstream.net.raft_node import _RECORDS as QUORUM_RECORD_DECODER
+from lotusstream.net.raft_node import _RECORD_DECODER as QUORUM_RECORD_DECODER
 from lotusstream.protocol import control, peers
 from lotusstream.quorum import messages as quorum
-from lotusstream.quorum.messages import Kind
+from lotusstream.quorum.messages import EntryKind
 
 
 @dataclass(frozen=True)
@@ -42,51 +42,51 @@
 MEMBERS = (quorum.Member("g1", "g1-disk"), quorum.Member("g2", "g2-disk", False))
 SNAPSHOT = quorum.Snapshot(7, 2, "g1-disk-3", MEMBERS, b"state")
 ENTRIES = (
-    quorum.Entry(2, Kind.NOTHING),
-    quorum.Entry(2, Kind.COMMAND, b"command"),
-    quorum.Entry(3, Kind.MEMBERS, b"\x91\x93\xa2g1\xa1d\xc3"),
+    quorum.LogEntry(2, EntryKind.NOTHING),
+    quorum.LogEntry(2, EntryKind.COMMAND, b"command"),
+    quorum.LogEntry(3, EntryKind.MEMBERS, b"\x91\x93\xa2g1\xa1d\xc3"),
 )
 QUORUM_RECORDS = {
-    "identity": quorum.Identity("g1-disk"),
-    "ballot": quorum.Ballot(3, "g2-disk"),
-    "entries": quorum.Entries(8, ENTRIES),
-    "snapshot": quorum.Whole(SNAPSHOT),
+    "identity": quorum.IncarnationRecord("g1-disk"),
+    "ballot": quorum.VoteRecord(3, "g2-disk"),
+    "entries": quorum.EntriesRecord(8, ENTRIES),
+    "snapshot": quorum.SnapshotRecord(SNAPSHOT),
 }
 QUORUM_BODIES = {
-    "hello": quorum.Hello(3, 9, "g2-disk"),
-    "heard": quorum.Heard("g1-disk-3", MEMBERS, MEMBERS[:1], 3, 9, True),
-    "found": quorum.Found(SNAPSHOT),
-    "ask-vote": quorum.AskVote(4, 9, 3, True, True),
-    "vote": quorum.Vote(4, True, False),
-    "append": quorum.Append(4, 7, 2, ENTRIES, 8, 11, 9),
-    "appended": quorum.Appended(4, False, 7, 9, 11),
-    "install": quorum.Install(4, SNAPSHOT, 16, 64, b"piece", 12),
-    "installed": quorum.Installed(4, 7, 21, True, 12),
-    "hand-over": quorum.HandOver(4),
+    "hello": quorum.JoinRequest(3, 9, "g2-disk"),
+    "heard": quorum.JoinReply("g1-disk-3", MEMBERS, MEMBERS[:1], 3, 9, True),
+    "found": quorum.BootstrapCluster(SNAPSHOT),
+    "ask-vote": quorum.RequestVote(4, 9, 3, True, True),
+    "vote": quorum.VoteReply(4, True, False),
+    "append": quorum.AppendEntries(4, 7, 2, ENTRIES, 8, 11, 9),
+    "appended": quorum.AppendReply(4, False, 7, 9, 11),
+    "install": quorum.InstallSnapshot(4, SNAPSHOT, 16, 64, b"piece", 12),
+    "installed": quorum.InstallSnapshotReply(4, 7, 21, True, 12),
+    "hand-over": quorum.TimeoutNow(4),
 }
 
 # Leases
 
 LEASE_WISHES = {
-    "acquire": leases.Acquire("moves", "g1", "g1-session", 5),
-    "release": leases.Release("moves", "g1", "g1-session", 6, 3, "g2"),
-    "expire": leases.Expire("moves", 3, 12),
-    "take-back": leases.TakeBack("moves", 3, "g2"),
-    "put": leases.Put("copies", 4, "shard/1", 2, "[1]"),
+    "acquire": leases.AcquireLease("moves", "g1", "g1-session", 5),
+    "release": leases.ReleaseLease("moves", "g1", "g1-session", 6, 3, "g2"),
+    "expire": leases.ExpireLease("moves", 3, 12),
+    "take-back": leases.RevokeLease("moves", 3, "g2"),
+    "put": leases.PutNote("copies", 4, "shard/1", 2, "[1]"),
 }
-GRANTED = leases.Granted(True, "moves", "g1", 3, "held", True, 2_000_000)
+GRANTED = leases.LeaseResult(True, "moves", "g1", 3, "held", True, 2_000_000)
 
 
 def lease_table() -> leases.LeaseTable:
     """Two tasks, one of them taken back by hand, and a note."""
     wishes = (
-        leases.Acquire("moves", "g1", "g1-session", 1),
-        leases.Acquire("moves", "g1", "g1-session", 2),
-        leases.Acquire("copies", "g2", "g2-session", 1),
-        leases.Put("copies", 2, "shard/1", 2, "[1]"),
-        leases.TakeBack("moves", 1, "g3"),
+        leases.AcquireLease("moves", "g1", "g1-session", 1),
+        leases.AcquireLease("moves", "g1", "g1-session", 2),
+        leases.AcquireLease("copies", "g2", "g2-session", 1),
+        leases.PutNote("copies", 2, "shard/1", 2, "[1]"),
+        leases.RevokeLease("moves", 1, "g3"),
     )
-    return leases.LeaseTable.replayed(b"", map(leases.encode_wish, wishes))
+    return leases.LeaseTable.replayed(b"", map(leases.encode_operation, wishes))
 
 
 # Copies
@@ -123,28 +123,30 @@
     "greeting": peers.Greeting(1, "group", "g1", 2),
     "ping": peers.Ping(),
     "pong": peers.Pong(),
-    "look": peers.Look(-3),
-    "alter": peers.Alter(-4, "g4", True),
-    "told": peers.Told(5, True, GRANTED, "g2", "why"),
-    "told-view": peers.Told(-3, False, None, "", "", {"role": "leader", "term": 4}),
-    "beat": peers.Beat(9, Holder(PLACES[0], "machine", "zone"), "g1-disk.run", {1: (3, PLACES[1:])}, True,
-                       {2: (4, PLACES[2])}),
-    "beaten": peers.Beaten(9, (ASSIGNED,), {1: PLACES[0]}, {1: 3}),
-    "keep": peers.Keep(21, True, HOLDINGS[1], "g2.session/1/0"),
-    "kept": peers.Kept(21, "known", HOLDINGS[0], "why", "g2"),
-    "hear": peers.Hear(4_000_000),
-    "tidings": peers.Tidings(HealthReports(4, 2, (Row(b"s-1", False), Row(b"s-2", True))), 1500),
-    **{f"ask-{name}": peers.Ask(31, wish) for name, wish in LEASE_WISHES.items()},
+    "look": peers.LeaseTableRequest(-3),
+    "alter": peers.MembershipChangeRequest(-4, "g4", True),
+    "told": peers.QuorumReply(5, True, GRANTED, "g2", "why"),
+    "told-view": peers.QuorumReply(-3, False, None, "", "", {"role": "leader", "term": 4}),
+    "beat": peers.ReplicaHeartbeat(9, Holder(PLACES[0], "machine", "zone"), "g1-disk.run",
+                                   {1: (3, PLACES[1:])}, True, {2: (4, PLACES[2])}),
+    "beaten": peers.ReplicaHeartbeatReply(9, (ASSIGNED,), {1: PLACES[0]}, {1: 3}),
+    "keep": peers.CommitmentRequest(21, True, HOLDINGS[1], "g2.session/1/0"),
+    "kept": peers.CommitmentReply(21, "known", HOLDINGS[0], "why", "g2"),
+    "hear": peers.HealthReportSubscription(4_000_000),
+    "tidings": peers.HealthReportFrame(HealthReports(4, 2, (Row(b"s-1", False), Row(b"s-2", True))), 1500),
+    **{f"ask-{name}": peers.LeaseOperationRequest(31, wish) for name, wish in LEASE_WISHES.items()},
     **{
-        f"quorum-{name}": peers.Quorum(quorum.Envelope("g1", "g1-disk", "g2", "g2-disk", "g1-disk-3", body))
+        f"quorum-{name}": peers.RaftFrame(
+            quorum.RaftEnvelope("g1", "g1-disk", "g2", "g2-disk", "g1-disk-3", body)
+        )
         for name, body in QUORUM_BODIES.items()
     },
-    **{f"word-{name}": peers.Word(*PLACES[:2], word) for name, word in COPY_WORDS.items()},
+    **{f"word-{name}": peers.ReplicationFrame(*PLACES[:2], word) for name, word in COPY_WORDS.items()},
 }  # fmt: skip
 
 
 def decode_peer_frame(data: bytes) -> Any:
-    taken = peers.take(memoryview(data))
+    taken = peers.decode_first(memoryview(data))
     assert taken is not None and taken[1] == len(data)
     return taken[0]
 
@@ -207,7 +209,7 @@
     Family("peer_frames", PEER_FRAMES, peers.encode, decode_peer_frame),
     Family("quorum_records", QUORUM_RECORDS, msgspec.msgpack.encode, QUORUM_RECORD_DECODER.decode),
     Family("copy_records", COPY_RECORDS, msgspec.msgpack.encode, COPY_RECORD_DECODER.decode),
-    Family("lease_wishes", LEASE_WISHES, leases.encode_wish, leases._WISHES.decode),
+    Family("lease_wishes", LEASE_WISHES, leases.encode_operation, leases._OPERATION_DECODER.decode),
     Family("moves", MOVES, msgspec.json.encode, MOVE_DECODER.decode),
     Family("control_requests", CONTROL_REQUESTS, control.encode_request,
            without_length(control.decode_request)),
--- a/tests/golden/golden_stores.py
+++ b/tests/golden/golden_stores.py
@@ -7,36 +7,38 @@
 from typing import Any
 
 import msgspec
-from golden_messages import HOLDINGS, CopiesIdentity, Kind, copies, lease_table, leases, quorum
+from golden_messages import HOLDINGS, CopiesIdentity, EntryKind, copies, lease_table, leases, quorum
 
-from lotusstream.quorum.replicated_log import write_members
+from lotusstream.quorum.replicated_log import encode_members
 from lotusstream.wal.log import Log
 
 FOUNDERS = tuple(quorum.Member(f"g{at}", f"g{at}-disk") for at in (1, 2, 3))
 LEARNER = quorum.Member("g4", "g4-disk", False)
 
 
-def _command(term: int, task: str, holder: str) -> quorum.Entry:
-    wish = leases.Acquire(task, holder, f"{holder}-session", 1)
-    return quorum.Entry(term, Kind.COMMAND, leases.encode_wish(wish))
+def _command(term: int, task: str, holder: str) -> quorum.LogEntry:
+    wish = leases.AcquireLease(task, holder, f"{holder}-session", 1)
+    return quorum.LogEntry(term, EntryKind.COMMAND, leases.encode_operation(wish))
 
 
 QUORUM_LOG = (
-    quorum.Identity("g1-disk"),
-    quorum.Ballot(1, "g2-disk"),
-    quorum.Whole(quorum.Snapshot(7, 2, "g1-disk-3", FOUNDERS, lease_table().dump())),
-    quorum.Entries(8, (quorum.Entry(2, Kind.NOTHING), _command(2, "lost", "g9"), _command(2, "lost", "g9"))),
-    quorum.Ballot(3, "g2-disk"),
+    quorum.IncarnationRecord("g1-disk"),
+    quorum.VoteRecord(1, "g2-disk"),
+    quorum.SnapshotRecord(quorum.Snapshot(7, 2, "g1-disk-3", FOUNDERS, lease_table().dump())),
+    quorum.EntriesRecord(
+        8, (quorum.LogEntry(2, EntryKind.NOTHING), _command(2, "lost", "g9"), _command(2, "lost", "g9"))
+    ),
+    quorum.VoteRecord(3, "g2-disk"),
     # entries of a later term in place of 9 and 10
-    quorum.Entries(
+    quorum.EntriesRecord(
         9,
         (
-            quorum.Entry(3, Kind.NOTHING),
+            quorum.LogEntry(3, EntryKind.NOTHING),
             _command(3, "examine", "g3"),
-            quorum.Entry(3, Kind.MEMBERS, write_members((*FOUNDERS, LEARNER))),
+            quorum.LogEntry(3, EntryKind.MEMBERS, encode_members((*FOUNDERS, LEARNER))),
         ),
     ),
-    quorum.Ballot(4, "g3-disk"),
+    quorum.VoteRecord(4, "g3-disk"),
 )
 COPIES_LOG = (
     CopiesIdentity("g1-disk"),
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -27,7 +27,7 @@
     quorum,
 )
 
-from lotusstream.quorum.replicated_log import write_members
+from lotusstream.quorum.replicated_log import encode_members
 
 CASES = [
     pytest.param(family, name, id=f"{family.name}-{name}") for family in FAMILIES for name in family.messages
@@ -63,10 +63,10 @@
 @pytest.mark.parametrize(
     ("union", "messages"),
     [
-        (peers.AnyFrame, PEER_FRAMES),
-        (quorum.AnyBody, QUORUM_BODIES),
-        (quorum.Record, QUORUM_RECORDS),
-        (leases.AnyWish, LEASE_WISHES),
+        (peers.PeerFrame, PEER_FRAMES),
+        (quorum.RaftMessage, QUORUM_BODIES),
+        (quorum.RaftRecord, QUORUM_RECORDS),
+        (leases.LeaseOperation, LEASE_WISHES),
         (copies.AnyWord, COPY_WORDS),
         (copies.Record | CopiesIdentity, COPY_RECORDS),
         (control.Asking, CONTROL_REQUESTS),
@@ -77,9 +77,9 @@
 
 
 def test_the_version_from_which_a_frame_is_understood_stays() -> None:
-    second = {name for name, frame in PEER_FRAMES.items() if peers.since(frame) == 2}
+    second = {name for name, frame in PEER_FRAMES.items() if peers.required_frame_version(frame) == 2}
     assert second == {"hear", "tidings", "word-compare", "word-compared"}
-    assert all(peers.since(frame) in (1, 2) for frame in PEER_FRAMES.values())
+    assert all(peers.required_frame_version(frame) in (1, 2) for frame in PEER_FRAMES.values())
 
 
 def test_a_greeting_without_its_later_field_is_understood() -> None:
@@ -90,4 +90,4 @@
 
 
 def test_members_in_a_log_entry_keep_their_bytes() -> None:
-    assert write_members(MEMBERS).hex() == "9293a26731a767312d6469736bc393a26732a767322d6469736bc2"
+    assert encode_members(MEMBERS).hex() == "9293a26731a767312d6469736bc393a26732a767322d6469736bc2"
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -12,14 +12,14 @@
 
 import pytest
 from golden_data import STORED
-from golden_messages import HOLDINGS, Held, Kind, Move, Place, Step, copies, leases, quorum
+from golden_messages import HOLDINGS, EntryKind, Held, Move, Place, Step, copies, leases, quorum
 from golden_stores import FOUNDERS, LEARNER, MADE, write_log
 
 from lotusstream.net.copies import _ASSIGNED as ASSIGNED_DECODER
 from lotusstream.net.copies import CopyStore
 from lotusstream.net.moves import read_moves
 from lotusstream.net.raft_node import open_store
-from lotusstream.quorum.replicated_log import Journal
+from lotusstream.quorum.replicated_log import ReplicatedLog
 from lotusstream.wal.log import Log
 
 MEMBERS_OF_THE_RUN = (
@@ -37,16 +37,16 @@
     return Path(shutil.copytree(STORED, tmp_path / "stored"))
 
 
-def open_journal(folder: Path) -> tuple[str, int, str, Journal]:
+def open_journal(folder: Path) -> tuple[str, int, str, ReplicatedLog]:
     log, on_disk = open_store(str(folder))
     log.close()
     assert on_disk.journal is not None and log.cut == 0
     return on_disk.disk, on_disk.term, on_disk.vote, on_disk.journal
 
 
-def lease_table(journal: Journal) -> leases.LeaseTable:
+def lease_table(journal: ReplicatedLog) -> leases.LeaseTable:
     entries = [journal.entry(index) for index in range(journal.snapshot.index + 1, journal.last + 1)]
-    commands = [entry.data for entry in entries if entry.kind == Kind.COMMAND]
+    commands = [entry.data for entry in entries if entry.kind == EntryKind.COMMAND]
     return leases.LeaseTable.replayed(journal.snapshot.state, commands)
 
 
@@ -145,8 +145,8 @@
 
 def test_a_repeated_wish_is_known_from_a_snapshot(stored: Path) -> None:
     table = lease_table(open_journal(stored / "made")[-1])
-    repeated = leases.encode_wish(leases.Acquire("moves", "g1", "g1-session", 2))
-    assert table.apply(repeated) == leases.Granted(True, "moves", "g1", 1, "")
+    repeated = leases.encode_operation(leases.AcquireLease("moves", "g1", "g1-session", 2))
+    assert table.apply(repeated) == leases.LeaseResult(True, "moves", "g1", 1, "")
     assert table.leases["moves"].renewed == 1
 
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -3,12 +3,20 @@
 import pytest
 
 from lotusstream.leases import holder as hold
-from lotusstream.leases.granter import Granter, LeaseTerms
-from lotusstream.leases.holder import Holder, TokenGate
-from lotusstream.leases.table import Acquire, Expire, LeaseTable, Put, Release, TakeBack, encode_wish
+from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
+from lotusstream.leases.holder import FencingTokenGuard, LeaseHolder
+from lotusstream.leases.table import (
+    AcquireLease,
+    ExpireLease,
+    LeaseTable,
+    PutNote,
+    ReleaseLease,
+    RevokeLease,
+    encode_operation,
+)
 
 MS, S = 1_000, 1_000_000
-TERMS = LeaseTerms(2 * S, 250 * MS, 0.05)
+TERMS = LeaseTiming(2 * S, 250 * MS, 0.05)
 
 
 @pytest.fixture
@@ -18,24 +26,24 @@
 
 @pytest.fixture
 def holder():
-    return Holder("g1", "g1-1", ["k1", "k2"], TERMS, 7)
+    return LeaseHolder("g1", "g1-1", ["k1", "k2"], TERMS, 7)
 
 
 def acquire(table, who, number, session=""):
-    return table.apply(encode_wish(Acquire("moves", who, session or who, number)))
+    return table.apply(encode_operation(AcquireLease("moves", who, session or who, number)))
 
 
 def granted(table, ask):
-    return table.apply(encode_wish(ask.wish))
+    return table.apply(encode_operation(ask.wish))
 
 
 def asks(actions):
-    return [each for each in actions if isinstance(each, hold.Ask)]
+    return [each for each in actions if isinstance(each, hold.SendLeaseOperation)]
 
 
 def test_a_release_that_comes_twice_takes_nothing_from_the_next_holder(table):
     first = acquire(table, "g1", 1)
-    release = encode_wish(Release("moves", "g1", "g1", 2, first.token))
+    release = encode_operation(ReleaseLease("moves", "g1", "g1", 2, first.token))
     assert table.apply(release).done
     second = acquire(table, "g2", 1)
     assert second.token > first.token
@@ -44,9 +52,9 @@
 
 
 def test_a_late_acquire_does_not_take_a_lease_that_was_released(table):
-    late = encode_wish(Acquire("moves", "g1", "g1", 1))
+    late = encode_operation(AcquireLease("moves", "g1", "g1", 1))
     first = table.apply(late)
-    table.apply(encode_wish(Release("moves", "g1", "g1", 2, first.token)))
+    table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 2, first.token)))
     assert not table.apply(late).done
     assert table.leases["moves"].token == 0
 
@@ -60,70 +68,72 @@
 def test_a_renewal_that_overtakes_the_leaders_word_stands(table):
     token = acquire(table, "g1", 1).token
     acquire(table, "g1", 2)
-    assert not table.apply(encode_wish(Expire("moves", token, 0))).done
-    assert table.apply(encode_wish(Expire("moves", token, 1))).done
+    assert not table.apply(encode_operation(ExpireLease("moves", token, 0))).done
+    assert table.apply(encode_operation(ExpireLease("moves", token, 1))).done
 
 
 def test_a_lease_handed_on_is_kept_for_its_heir_alone_and_not_for_ever(table):
     token = acquire(table, "g1", 1).token
-    table.apply(encode_wish(Release("moves", "g1", "g1", 2, token, "g3")))
+    table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 2, token, "g3")))
     assert acquire(table, "g2", 1).why == "kept for g3"
-    granter = Granter(TERMS)
+    granter = LeaseExpiryTracker(TERMS)
     assert granter.due(0, 1, table) == []
     (word,) = granter.due(2 * S, 1, table)
-    table.apply(encode_wish(word))
+    table.apply(encode_operation(word))
     assert acquire(table, "g2", 2).done
 
 
 def test_taken_back_by_hand_it_ends_at_the_next_renewal_and_not_before(table):
     token = acquire(table, "g1", 1).token
-    assert table.apply(encode_wish(TakeBack("moves", token))).done
+    assert table.apply(encode_operation(RevokeLease("moves", token))).done
     assert acquire(table, "g2", 1).why == "held"
     assert acquire(table, "g1", 2).why == "taken back by hand"
-    table.apply(encode_wish(Release("moves", "g1", "g1", 3, token)))
+    table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 3, token)))
     assert acquire(table, "g2", 2).done
 
 
 def test_a_table_read_back_grants_no_token_again(table):
     for number in range(1, 4):
         token = acquire(table, "g1", 2 * number).token
-        table.apply(encode_wish(Release("moves", "g1", "g1", 2 * number + 1, token)))
+        table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 2 * number + 1, token)))
     again = LeaseTable.load(table.dump())
     assert acquire(again, "g2", 1).token > token
     assert not acquire(again, "g1", 6).done  # whose numbers are known is known as well
 
 
 def test_the_holder_counts_from_before_it_asked(holder, table):
-    (ask,) = asks(holder.handle(S, hold.Want("moves")))
+    (ask,) = asks(holder.handle(S, hold.LeaseWanted("moves")))
     told = granted(table, ask)
-    begun = holder.handle(S + 200 * MS, hold.Answered(ask.number, told, "k1"))
-    assert hold.Begin("moves", told.token) in begun
+    begun = holder.handle(S + 200 * MS, hold.LeaseReplyReceived(ask.number, told, "k1"))
+    assert hold.StartTask("moves", told.token) in begun
     end = S + TERMS.length - TERMS.margin
     assert holder.may_act(end - 1, "moves") == told.token
     assert holder.may_act(end, "moves") == 0
 
 
 def test_an_answer_that_comes_after_its_time_begins_nothing(holder, table):
-    (ask,) = asks(holder.handle(S, hold.Want("moves")))
-    late = holder.handle(S + TERMS.length, hold.Answered(ask.number, granted(table, ask), "k1"))
-    assert not any(isinstance(each, hold.Begin) for each in late)
+    (ask,) = asks(holder.handle(S, hold.LeaseWanted("moves")))
+    late = holder.handle(S + TERMS.length, hold.LeaseReplyReceived(ask.number, granted(table, ask), "k1"))
+    assert not any(isinstance(each, hold.StartTask) for each in late)
 
 
 def test_without_a_renewal_it_stops_by_itself_and_says_why(holder, table):
-    (ask,) = asks(holder.handle(S, hold.Want("moves")))
-    holder.handle(S, hold.Answered(ask.number, granted(table, ask), "k1"))
+    (ask,) = asks(holder.handle(S, hold.LeaseWanted("moves")))
+    holder.handle(S, hold.LeaseReplyReceived(ask.number, granted(table, ask), "k1"))
     stops = []
     now = S
     while not stops:
         now = max(now + 1, holder.next_at)
-        stops = [each for each in holder.handle(now, hold.Tick()) if isinstance(each, hold.Stop)]
+        stops = [
+            each for each in holder.handle(now, hold.LeaseTimeAdvanced()) if isinstance(each, hold.StopTask)
+        ]
     assert now <= S + TERMS.length - TERMS.margin
     assert "no renewal" in stops[0].why
 
 
 def test_a_silent_keeper_is_left_for_the_next(holder):
-    (first,) = asks(holder.handle(S, hold.Want("moves")))
-    (second,) = asks(holder.handle(holder.next_at, hold.Tick()))
+    (first,) = asks(holder.handle(S, hold.LeaseWanted("moves")))
+    (second,) = asks(holder.handle(holder.next_at, hold.LeaseTimeAdvanced()))
     assert first.keeper != second.keeper
 
 
@@ -134,7 +144,7 @@
 
 
 def test_a_holder_that_slept_between_its_look_and_its_act_is_turned_away_by_what_it_acts_on():
-    gate = TokenGate()
+    gate = FencingTokenGuard()
     assert gate.admits("moves", 4)
     assert gate.admits("moves", 5)  # another has it by now
     assert not gate.admits("moves", 4)
@@ -142,13 +152,13 @@
 
 def test_a_note_is_agreed_on_under_the_newest_token_alone_and_never_goes_back(table):
     def put(token, version, value):
-        return table.apply(encode_wish(Put("moves", token, "plan", version, value)))
+        return table.apply(encode_operation(PutNote("moves", token, "plan", version, value)))
 
     first = acquire(table, "g1", 1).token
     assert put(first, 3, "a").done
     assert put(first, 3, "a").done  # its answer was lost
     assert "version 3" in put(first, 3, "b").why
-    table.apply(encode_wish(Release("moves", "g1", "g1", 2, first)))
+    table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 2, first)))
     second = acquire(table, "g2", 1).token
     assert not put(first, 4, "late").done
     assert put(second, 4, "c").done
