--- a/lotusstream/interface/events.py
+++ b/lotusstream/interface/events.py
@@ -166,7 +166,7 @@
     request_id: int
     zone: int  # of the endpoint; -1 where it is unknown or does not matter
     cell: int  # likewise
-    at: int  # microseconds, when that attempt began
+    started_at: int  # microseconds, when that attempt began
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusstream/policy/gateway.py
+++ b/lotusstream/policy/gateway.py
@@ -418,8 +418,8 @@
             return
         (request, attempt), endpoint.heard = held, self.now
         if event.kind is ProgressKind.PROGRESS and event.amount > 0:
-            age = self.now - attempt.at
-            attempt.finish, attempt.told = attempt.at + age / min(1.0, event.amount), True
+            age = self.now - attempt.started_at
+            attempt.finish, attempt.told = attempt.started_at + age / min(1.0, event.amount), True
             if request.profile.is_load and endpoint.loads.get(request.group, (None, 0))[0] is request:
                 endpoint.loads[request.group] = (request, attempt.finish)
             self._plan_evaluation(self.now)
@@ -458,7 +458,7 @@
         if event.outcome is Outcome.ANSWERED:
             endpoint.retry_credit = min(RETRY_CREDIT_MOST, endpoint.retry_credit + RETRY_CREDIT_PER_ANSWER)
             if (
-                endpoint.ejected_until and endpoint.lost and attempt.at >= endpoint.ejected_at
+                endpoint.ejected_until and endpoint.lost and attempt.started_at >= endpoint.ejected_at
             ):  # may have restarted, unlisted
                 endpoint.begin_slow_start(self.now, self._chance())
             endpoint.failures, endpoint.ejected_until, endpoint.lost = 0, None, False
@@ -565,7 +565,7 @@
     def _remembered(self, request: Request, after: int) -> bool:
         """A repeat that comes after that time is still dropped by engines, even if it connects late."""
         ran, by = request.ran, self.now + after + self.evaluation_interval + self.allowed.connect_timeout
-        return not ran or by < ran[0].at + request.profile.deduplication_window
+        return not ran or by < ran[0].started_at + request.profile.deduplication_window
 
     def _may_send_again(self, request: Request) -> bool:
         # guards all engines against commands that none can use: an error of two is the command's own
@@ -649,7 +649,7 @@
             if load is None and ends <= self.now:
                 del endpoint.loads[request.group]
             else:  # a load that outruns its estimate still has time left
-                began = load.attempts[-1].at if load else self.now
+                began = load.attempts[-1].started_at if load else self.now
                 stall = max(ends - self.now, (self.now - began) / 4)
         if profile.is_load:
             readers = sum(
@@ -951,7 +951,7 @@
             wait = self.evaluation_interval
             if request.out and request.id not in self.waiting:
                 self._reconsider(request)
-                wait = max(wait, (self.now - request.attempts[-1].at) // 4)
+                wait = max(wait, (self.now - request.attempts[-1].started_at) // 4)
             self._plan_evaluation(min(self.now + wait, request.deadline - 2 * self.evaluation_interval))
 
     def _adjust(self, endpoint: Endpoint) -> None:
@@ -973,7 +973,7 @@
     def _silent(self, endpoint: Endpoint) -> bool:
         """Overdue sends in a row and not a word: no pause, no slowness, no one bad plan."""
         late = sum(
-            self.now - t.at > OVERDUE_RATIO * t.expected and not t.stalled for _, t in endpoint.out.values()
+            self.now - t.started_at > OVERDUE_RATIO * t.expected and not t.stalled for _, t in endpoint.out.values()
         )
         needed = 1 if self.given.progress_interval else EJECTING_FAILURES
         return late >= needed and self.now - endpoint.heard > max(
@@ -985,7 +985,7 @@
         attempt, endpoint, profile = request.out[-1], request.out[-1].endpoint, request.profile
         if attempt.cancelled or not (self.allowed.cancellation and self._may_send_again(request)):
             return
-        age, alone = self.now - attempt.at, request.work / profile.threads
+        age, alone = self.now - attempt.started_at, request.work / profile.threads
         fresh = alone * max(
             endpoint.pool.baseline_ratio,
             math.exp(endpoint.pool.estimates[request.kind].latency_ratios.mean(self.now, 0.0, 1.0)),
@@ -996,7 +996,7 @@
         if (
             endpoint.ejected_until
             and endpoint.lost
-            and (attempt.at <= endpoint.ejected_at or age > OVERDUE_RATIO * attempt.expected)
+            and (attempt.started_at <= endpoint.ejected_at or age > OVERDUE_RATIO * attempt.expected)
         ):
             self._eject(endpoint)  # by a trial that stays out too long as well
             self._cancel(request, attempt)
--- a/lotusstream/policy/limits.py
+++ b/lotusstream/policy/limits.py
@@ -78,7 +78,7 @@
         if not endpoint.out:
             return
         late = [
-            (min(RUNAWAY_RATIO * t.alone, now - t.at) / t.alone * request.profile.threads, t.stalled)
+            (min(RUNAWAY_RATIO * t.alone, now - t.started_at) / t.alone * request.profile.threads, t.stalled)
             for request, t in endpoint.out.values()
         ]
         endpoint.overdue_ratio, endpoint.stalled_ratio = (
--- a/lotusstream/policy/state.py
+++ b/lotusstream/policy/state.py
@@ -17,7 +17,7 @@
     """One send of a command."""
 
     endpoint: Endpoint
-    at: int
+    started_at: int
     alone: float  # what its work would take on an idle engine
     expected: float
     number: int
@@ -215,19 +215,19 @@
         """A send goes out. `keep`: how many groups stay warm there. Returns the group that no longer does."""
         threads, cooled = request.profile.threads, None
         request.attempts.append(attempt)
-        self.heard = self.heard if self.out else attempt.at
+        self.heard = self.heard if self.out else attempt.started_at
         self.out[request.id << 8 | attempt.number] = (request, attempt)
         self.threads += threads
         self.pool.free_capacity, self.pool.out = self.pool.free_capacity - threads, self.pool.out + threads
         self.pool.changed[self] = None
-        self.used_at = attempt.at
+        self.used_at = attempt.started_at
         self.warm.pop(request.group, None)
-        self.warm[request.group] = attempt.at
+        self.warm[request.group] = attempt.started_at
         if len(self.warm) > keep:
             cooled = next(iter(self.warm))
             del self.warm[cooled]
         if self.slow_start_work is not None:
-            self.slow_start_work.add(attempt.at, request.weight)
+            self.slow_start_work.add(attempt.started_at, request.weight)
         return cooled
 
     def ends(self, send: int) -> tuple[Request, Attempt] | None:
