--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -15,7 +15,9 @@
 from lotusstream import interface as api
 from lotusstream.net import client, decider, endpoint_registry
 from lotusstream.net import gateway as server
-from lotusstream.policy import gateway
+from lotusstream.policy.placement import PlacementPolicy
+from lotusstream.policy.retries import RetryPolicy
+from lotusstream.policy.slow_start import SlowStart
 from lotusstream.protocol import http
 
 DECISION_SECONDS = 0.004  # of the slow core, for each choice of a server
@@ -25,15 +27,15 @@
 
 def slow_core() -> None:
     """Each choice of a server takes some milliseconds of processor time."""
-    choose = gateway.Gateway._place
+    choose = PlacementPolicy.place
 
-    def slowly(self: gateway.Gateway, *given: Any) -> Any:
+    def slowly(self: PlacementPolicy, *given: Any) -> Any:
         until = time.perf_counter() + DECISION_SECONDS
         while time.perf_counter() < until:
             pass
         return choose(self, *given)
 
-    gateway.Gateway._place = slowly  # type: ignore[method-assign, assignment]
+    PlacementPolicy.place = slowly  # type: ignore[method-assign, assignment]
 
 
 def late_drain() -> None:
@@ -86,10 +88,11 @@
 def unsafe_retry() -> None:
     """A request that must not be repeated is sent again as any other."""
 
-    def may_send_again(self: gateway.Gateway, request: Any) -> bool:
-        return len(request.attempts) < self.allowed.max_attempts and self.now < request.deadline
+    def may_attempt(self: RetryPolicy, request: Any) -> bool:
+        context = self._context
+        return len(request.attempts) < context.capabilities.max_attempts and context.now < request.deadline
 
-    gateway.Gateway._may_send_again = may_send_again  # type: ignore[method-assign]
+    RetryPolicy.may_attempt = may_attempt  # type: ignore[method-assign]
 
 
 def whole_list_without_drains() -> None:
@@ -116,7 +119,7 @@
 
 def no_slow_start() -> None:
     """A server that has just started is sent what any other is."""
-    gateway.Gateway._slow_start_admits = lambda self, endpoint, weight: True  # type: ignore[method-assign]
+    SlowStart.admits = lambda self, endpoint, work: True  # type: ignore[method-assign]
 
 
 PLANTED: dict[str, Callable[[], None]] = {
--- a/lotusstream/policy/__init__.py
+++ b/lotusstream/policy/__init__.py
@@ -1,4 +1,4 @@
-"""All of lotusstream's decisions: `Gateway` takes events and returns actions (lotusstream/interface.py)."""
+"""All of lotusstream's decisions: `Gateway` takes events and returns actions (lotusstream/interface/)."""
 
 from lotusstream.policy.gateway import Gateway
 
--- /dev/null
+++ b/lotusstream/policy/admission.py
@@ -0,0 +1,113 @@
+"""Request admission: which requests are taken, and by when they are answered."""
+
+from __future__ import annotations
+
+from lotusstream import interface as api
+from lotusstream.interface import RejectionReason
+from lotusstream.policy.affinity_sets import AffinitySets
+from lotusstream.policy.context import DecisionContext
+from lotusstream.policy.degradation import Degradation
+from lotusstream.policy.evaluation_timer import EvaluationTimer
+from lotusstream.policy.open_requests import OpenRequests
+from lotusstream.policy.overload import QueueDelay
+from lotusstream.policy.pools import Pools
+from lotusstream.policy.rejection import Rejection
+from lotusstream.policy.retries import RetryPolicy
+from lotusstream.policy.state import Request
+from lotusstream.policy.traffic_share import TrafficShare
+
+NO_SHUTDOWN = 2**62  # microseconds: later than any deadline
+
+
+class Admission:
+    """Admits requests or rejects them at once; bounds their deadlines by that of a graceful shutdown.
+
+    The rule: every request gets exactly one final answer before its deadline. Inputs: the client's timeout,
+    the queue delay and the shutdown's deadline, all in microseconds, and the level of reduced service.
+    """
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        timer: EvaluationTimer,
+        pools: Pools,
+        open_requests: OpenRequests,
+        degradation: Degradation,
+        rejection: Rejection,
+        retries: RetryPolicy,
+        affinity_sets: AffinitySets,
+        traffic_share: TrafficShare,
+    ) -> None:
+        self._context = context
+        self._timer = timer
+        self._pools = pools
+        self._open_requests = open_requests
+        self._degradation = degradation
+        self._rejection = rejection
+        self._retries = retries
+        self._affinity_sets = affinity_sets
+        self._traffic_share = traffic_share
+        self._queue_delay = QueueDelay()
+        self._shutdown_deadline = NO_SHUTDOWN
+
+    def on_request_received(self, event: api.RequestReceived) -> None:
+        """Takes a request, counts it, and rejects it if it can't or must not be run."""
+        request = self._new_request(event)
+        self._open_requests.add(request)
+        self._retries.on_request_received()
+        estimates = request.pool.estimates[request.profile_index]
+        estimates.requested_work.add(self._context.now, request.work)
+        self._affinity_sets.record(request.group)
+        self._traffic_share.on_request_received()
+        reason = self._rejection_reason(request, event.queue_delay)
+        if reason is not None:
+            self._rejection.reject(request, reason)
+
+    def _new_request(self, event: api.RequestReceived) -> Request:
+        now = self._context.now
+        profile = self._context.settings.profiles[event.profile]
+        pool = self._pools.of_cell(event.cell)
+        estimates = pool.estimates[event.profile]
+        work = estimates.estimate(now, event.work_hint)
+        deadline = min(now + event.client_timeout, self._shutdown_deadline)
+        # without a hint the mean is too high a guess: most requests lie below it
+        stretch = profile.objective_stretch * work / profile.threads if event.work_hint else 0.0
+        return Request(
+            id=event.request_id,
+            profile_index=event.profile,
+            profile=profile,
+            group=event.group,
+            key=event.key if profile.ordered_by_key else None,
+            work_hint=event.work_hint,
+            work=work,
+            typical_work=estimates.typical_work(now),
+            soft_deadline=min(int(now + profile.latency_objective + stretch), deadline),
+            deadline=deadline,
+            random_value=self._context.random.next_integer(),
+            pool=pool,
+            cell=event.cell,
+        )
+
+    def _rejection_reason(self, request: Request, queue_delay: int) -> RejectionReason | None:
+        if self._queue_delay.rejects(self._context.now, queue_delay):
+            return RejectionReason.OVERLOADED
+        if request.deadline - self._context.now <= self._context.answer_margin:
+            return RejectionReason.TOO_LATE
+        if not self._degradation.admits(request):
+            return RejectionReason.REDUCED
+        return None
+
+    def on_degradation_changed(self, event: api.DegradationChanged) -> None:
+        """Answers at once what the level does not admit and was not sent yet."""
+        self._degradation.change(event)
+        unsent = [request for request in self._open_requests.waiting.values() if not request.attempts]
+        for request in [request for request in unsent if not self._degradation.admits(request)]:
+            self._rejection.reject(request, RejectionReason.REDUCED)
+
+    def on_shutdown_started(self, event: api.ShutdownStarted) -> None:
+        """Bounds all deadlines: every request is answered while there is a gateway to answer it."""
+        self._shutdown_deadline = event.deadline
+        for request in self._open_requests.by_id.values():
+            request.deadline = min(request.deadline, event.deadline)
+            request.soft_deadline = min(request.soft_deadline, event.deadline)
+        self._timer.plan(self._context.now)
--- a/lotusstream/policy/affinity.py
+++ b/lotusstream/policy/affinity.py
@@ -1,8 +1,8 @@
-"""Which endpoints keep which table groups warm, agreed among gateways by hashing and without a message.
+"""Which endpoints cache which table groups, agreed among gateways by hashing and without a message.
 
-Each endpoint keeps as many groups as its cache holds: those with the least weighted draw, where a group's
-weight is its part of the requests seen. That follows the traffic, so it is worked out anew now and then, a
-few endpoints at a time. Source of the draw: weighted rendezvous hashing.
+Each endpoint caches as many groups as it has room for: those with the least weighted draw, where a group's
+weight is its part of the requests seen. That follows the traffic, so it is computed anew periodically, a few
+endpoints at a time. Source of the draw: weighted rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -15,81 +15,97 @@
 from lotusstream import interface as api
 from lotusstream.rendezvous import unit_hash
 
-REFRESHED_AT_ONCE = 16  # endpoints whose groups are worked out in one turn
+REFRESHED_ENDPOINTS = 16  # whose groups one refresh computes
 
 
 def group_seed(group: int) -> int:
+    """Returns the seed of a group's draws, the same at all gateways."""
     return zlib.crc32(group.to_bytes(8, "little", signed=True))
 
 
 class Affinity:
-    """`kept`: groups that an endpoint keeps warm. `epoch`: the time over which requests are counted, and
-    counted together with those of the epoch before, in microseconds."""
-
-    def __init__(self, kept: int, epoch: int) -> None:
-        self._kept, self._epoch_length, self._epoch = kept, epoch, 0
-        self._groups, self._earlier = Counter[int](), Counter[int]()
-        self._seen = self._seen_earlier = 0
-        self._keeps: dict[api.EndpointId, frozenset[int]] = {}
-        self._kept_by: dict[int, dict[api.EndpointId, None]] = {}
-        self._pending: deque[api.EndpointId] = deque()
-        self.version = 0  # counts the changes of what is kept where
+    """The groups that each enrolled endpoint caches, and the requests that this follows."""
+
+    def __init__(self, groups_per_endpoint: int, epoch: int) -> None:
+        """`groups_per_endpoint`: that it caches. `epoch`: microseconds over which requests are counted, and
+        counted together with those of the epoch before."""
+        self._groups_per_endpoint = groups_per_endpoint
+        self._epoch_length = epoch
+        self._epoch = 0  # number of the present one
+        self._counts = Counter[int]()  # requests by group, in the present epoch
+        self._earlier_counts = Counter[int]()  # in the epoch before
+        self._total = 0  # requests in the present epoch
+        self._earlier_total = 0
+        self._groups_by_endpoint: dict[api.EndpointId, frozenset[int]] = {}
+        self._endpoints_by_group: dict[int, dict[api.EndpointId, None]] = {}
+        self._pending: deque[api.EndpointId] = deque()  # endpoints to be refreshed
+        self.version = 0  # counts the changes of what is cached where
 
     def record(self, now: int, group: int) -> bool:
-        """A request of this group; True where the counts have doubled since they were last used."""
-        if now // self._epoch_length != self._epoch:
-            self._epoch = now // self._epoch_length
-            self._earlier, self._groups = self._groups, Counter()
-            self._seen_earlier, self._seen = self._seen, 0
-        self._groups[group] += 1
-        self._seen += 1
-        doubled = not self._seen & (self._seen - 1)
-        if doubled:
-            self._pending = deque(self._keeps)
-        return doubled
-
-    def part(self, group: int, endpoints: int) -> float:
-        """The group's part of the requests, 0 to 1; drawn to nothing where few were seen."""
-        return (self._groups[group] + self._earlier[group]) / (self._seen + self._seen_earlier + endpoints)
-
-    def enrol(self, engines: list[api.EndpointId]) -> None:
-        """Endpoints that groups may be kept at."""
-        for engine in engines:
-            if engine not in self._keeps:
-                self._keeps[engine] = frozenset()
-                self._pending.append(engine)
-
-    def remove(self, engine: api.EndpointId) -> None:
-        if engine in self._keeps:
-            self._set(engine, frozenset())
-            del self._keeps[engine]
-
-    def kept_by(self, group: int) -> list[api.EndpointId]:
-        """The endpoints that keep a group."""
-        return list(self._kept_by.get(group, ()))
+        """Counts a request; returns whether the counts have doubled since they were last used."""
+        epoch = now // self._epoch_length
+        if epoch != self._epoch:
+            self._epoch = epoch
+            self._earlier_counts = self._counts
+            self._counts = Counter()
+            self._earlier_total = self._total
+            self._total = 0
+        self._counts[group] += 1
+        self._total += 1
+        is_power_of_two = not self._total & (self._total - 1)
+        if is_power_of_two:
+            self._pending = deque(self._groups_by_endpoint)
+        return is_power_of_two
+
+    def traffic_ratio(self, group: int, endpoints: int) -> float:
+        """Returns the group's part of the requests, 0 to 1; drawn to 0 where few were seen, by a weight of
+        `endpoints` requests."""
+        count = self._counts[group] + self._earlier_counts[group]
+        return count / (self._total + self._earlier_total + endpoints)
+
+    def enrol(self, endpoint_ids: list[api.EndpointId]) -> None:
+        """Adds endpoints that may cache groups; those that are known stay as they are."""
+        for endpoint_id in endpoint_ids:
+            if endpoint_id not in self._groups_by_endpoint:
+                self._groups_by_endpoint[endpoint_id] = frozenset()
+                self._pending.append(endpoint_id)
+
+    def remove(self, endpoint_id: api.EndpointId) -> None:
+        """Removes an endpoint, if it is enrolled."""
+        if endpoint_id in self._groups_by_endpoint:
+            self._set_groups(endpoint_id, frozenset())
+            del self._groups_by_endpoint[endpoint_id]
+
+    def endpoints_caching(self, group: int) -> list[api.EndpointId]:
+        """Returns the endpoints that cache a group."""
+        return list(self._endpoints_by_group.get(group, ()))
 
     def refresh(self) -> None:
-        """Works out anew what some of the endpoints keep; all are reached after a few turns."""
+        """Computes anew what some of the endpoints cache; a few calls reach all of them."""
         if not self._pending:
             return
-        counts = self._groups + self._earlier
-        seen = [(group_seed(group), group, count) for group, count in counts.items()]
-        for _ in range(min(REFRESHED_AT_ONCE, len(self._pending))):
-            engine = self._pending.popleft()
-            if engine in self._keeps:
-                draws = [(-math.log(unit_hash(engine, seed)) / count, group) for seed, group, count in seen]
-                self._set(engine, frozenset(group for _, group in nsmallest(self._kept, draws)))
-
-    def _set(self, engine: api.EndpointId, groups: frozenset[int]) -> None:
-        before = self._keeps.get(engine, frozenset())
+        counts = self._counts + self._earlier_counts
+        weighted = [(group_seed(group), group, count) for group, count in counts.items()]
+        for _ in range(min(REFRESHED_ENDPOINTS, len(self._pending))):
+            endpoint_id = self._pending.popleft()
+            if endpoint_id not in self._groups_by_endpoint:
+                continue
+            draws = [
+                (-math.log(unit_hash(endpoint_id, seed)) / count, group) for seed, group, count in weighted
+            ]
+            winners = nsmallest(self._groups_per_endpoint, draws)
+            self._set_groups(endpoint_id, frozenset(group for _, group in winners))
+
+    def _set_groups(self, endpoint_id: api.EndpointId, groups: frozenset[int]) -> None:
+        before = self._groups_by_endpoint.get(endpoint_id, frozenset())
         if groups == before:
             return
         self.version += 1
-        self._keeps[engine] = groups
+        self._groups_by_endpoint[endpoint_id] = groups
         for group in before - groups:
-            kept = self._kept_by[group]
-            del kept[engine]
-            if not kept:
-                del self._kept_by[group]
+            caching = self._endpoints_by_group[group]
+            del caching[endpoint_id]
+            if not caching:
+                del self._endpoints_by_group[group]
         for group in groups - before:
-            self._kept_by.setdefault(group, {})[engine] = None
+            self._endpoints_by_group.setdefault(group, {})[endpoint_id] = None
--- /dev/null
+++ b/lotusstream/policy/affinity_sets.py
@@ -0,0 +1,96 @@
+"""At which endpoints all gateways run the requests of a table group, so that it is cached there."""
+
+from __future__ import annotations
+
+from lotusstream import interface as api
+from lotusstream.policy.affinity import Affinity, group_seed
+from lotusstream.policy.catalog import Catalog, Domain, DomainKey
+from lotusstream.policy.context import DOMINANT_SHARE, DecisionContext
+from lotusstream.policy.domains import Domains
+from lotusstream.policy.spare_capacity import SpareCapacity
+from lotusstream.policy.state import Request
+
+WARM_GROUPS_PER_ENDPOINT = 4  # table groups that an endpoint keeps cached
+MIN_AFFINITY_SET_SIZE = 2  # endpoints
+AFFINITY_EPOCH_OBJECTIVES = 16  # shortest objectives over which requests are counted by group
+
+AffinitySet = dict[api.EndpointId, None]  # in order; empty where this gateway goes by what it has seen
+
+
+class AffinitySets:
+    """The affinity sets of table groups, computed when first needed.
+
+    Gateways agree on them without a message, by hashing groups and endpoints. Each endpoint is in the sets of
+    as many groups as it keeps cached, by draws weighted with their parts of the requests: guards endpoints
+    against being in the sets of many busy groups while others are in none.
+    """
+
+    def __init__(
+        self, context: DecisionContext, catalog: Catalog, domains: Domains, spare_capacity: SpareCapacity
+    ) -> None:
+        self._context = context
+        self._catalog = catalog
+        self._domains = domains
+        self._spare_capacity = spare_capacity
+        epoch = AFFINITY_EPOCH_OBJECTIVES * context.shortest_objective
+        self._affinity = Affinity(WARM_GROUPS_PER_ENDPOINT, epoch)
+        self._sets: dict[tuple[int, DomainKey], AffinitySet] = {}
+
+    def of_request(self, request: Request) -> AffinitySet:
+        """Returns the affinity set of the request's group, within its domain."""
+        domain = self._domains.of_request(request)
+        key = (request.group, domain.key)
+        if key not in self._sets:
+            self._sets[key] = self._compute(request, domain)
+        return self._sets[key]
+
+    def _compute(self, request: Request, domain: Domain) -> AffinitySet:
+        preferred = domain.preferred
+        self._affinity.enrol(domain.first(preferred))
+        caching = [
+            endpoint_id
+            for endpoint_id in self._affinity.endpoints_caching(request.group)
+            if self._domains.is_preferred(request, domain, endpoint_id)
+        ]
+        traffic_ratio = self._affinity.traffic_ratio(request.group, preferred)
+        wanted = int(WARM_GROUPS_PER_ENDPOINT * traffic_ratio * preferred)
+        size = max(MIN_AFFINITY_SET_SIZE, min(wanted, len(caching)))
+        candidates = caching if len(caching) >= size else domain.first(preferred)
+        seed = group_seed(request.group)
+        caching_ids = set(caching)
+        draws = [
+            (endpoint_id not in caching_ids, self._draw(seed, request, endpoint_id), endpoint_id)
+            for endpoint_id in candidates
+            if domain.prefers(self._catalog.rank(endpoint_id))
+        ]
+        return dict.fromkeys([endpoint_id for _, _, endpoint_id in sorted(draws)[:size]])
+
+    def _draw(self, seed: int, request: Request, endpoint_id: api.EndpointId) -> float:
+        entry = self._catalog.entries[endpoint_id]
+        return self._spare_capacity.weighted_draw(seed, request.profile, entry)
+
+    def record(self, group: int) -> None:
+        """Counts a request. Weights follow whenever the counts have doubled.
+
+        Guards restricted endpoints from the first requests on, not only an epoch later.
+        """
+        if self._affinity.record(self._context.now, group):
+            self.rebalance()
+
+    def rebalance(self) -> None:
+        """Weighs endpoints anew: their list, their cells or the traffic have changed."""
+        self._spare_capacity.recompute()
+        self._sets.clear()
+
+    def refresh(self) -> None:
+        """Follows the traffic for a few endpoints."""
+        if self._context.share >= DOMINANT_SHARE:
+            return
+        version = self._affinity.version
+        self._affinity.refresh()
+        if self._affinity.version != version:
+            self._sets.clear()
+
+    def remove(self, endpoint_id: api.EndpointId) -> None:
+        """An endpoint takes no more attempts."""
+        self._affinity.remove(endpoint_id)
--- a/lotusstream/policy/catalog.py
+++ b/lotusstream/policy/catalog.py
@@ -1,4 +1,4 @@
-"""The listed endpoints, kept so that a change costs its own length and a choice does not visit them all.
+"""The listed endpoints, indexed so that a change costs its own length and a choice does not visit them all.
 
 Nothing is known here of how an endpoint behaves: that is an `Endpoint`'s state, which exists from the first
 attempt on. Each gateway prefers a stable subset of a long list (rendezvous hashing with its own seed), so
@@ -17,29 +17,33 @@
 
 DomainKey = tuple[frozenset[int] | None, frozenset[int] | None, int | None]  # zones, kinds, cell
 
-LEAST_PREFERRED = 96  # endpoints: a list no longer than this is preferred as a whole
-SHARES_PREFERRED = 3.0  # of this gateway's even share of the endpoints
-REBUILD_PART = 8  # a domain is sorted anew where more than one in so many of its endpoints change
+MIN_PREFERRED_ENDPOINTS = 96  # a domain no larger than this is preferred as a whole
+PREFERRED_EVEN_SHARES = 3.0  # preferred endpoints, as a multiple of this gateway's even share of a domain
+REBUILD_DIVISOR = 8  # a domain is sorted anew where more than one in so many of its endpoints change
+UNLISTED_RANK = 2.0  # behind all listed endpoints
 
 
 @dataclass(frozen=True, slots=True)
 class EntryChange:
-    """What the list said of an endpoint, and what it says now; None: not listed."""
+    """One endpoint whose entry differs between two versions of the list."""
 
     id: api.EndpointId
-    before: api.EndpointEntry | None
-    after: api.EndpointEntry | None
+    before: api.EndpointEntry | None  # None: not listed
+    after: api.EndpointEntry | None  # None: not listed
 
     @property
     def was_ready(self) -> bool:
+        """Whether it took attempts before."""
         return self.before is not None and self.before.status is api.EndpointStatus.READY
 
     @property
     def is_ready(self) -> bool:
+        """Whether it takes attempts now."""
         return self.after is not None and self.after.status is api.EndpointStatus.READY
 
     @property
     def restarted(self) -> bool:
+        """Whether it is listed before and after with different starts."""
         if self.before is None or self.after is None:
             return False
         return self.before.started_at != self.after.started_at
@@ -49,139 +53,169 @@
     """The ready endpoints that a profile's requests may go to, in this gateway's order of preference."""
 
     def __init__(self, key: DomainKey, even_share: float) -> None:
+        """`even_share`: of one gateway, 0 to 1."""
         self.key = key
         self._even_share = even_share
-        self._order: list[tuple[float, api.EndpointId]] = []
+        self._order: list[tuple[float, api.EndpointId]] = []  # ranks and ids, sorted
         self.preferred = 0  # how many endpoints, from the first on, are preferred
 
     def __len__(self) -> int:
         return len(self._order)
 
     def _resize(self) -> None:
-        fair = int(SHARES_PREFERRED * self._even_share * len(self._order))
-        self.preferred = min(len(self._order), max(LEAST_PREFERRED, fair))
+        fair = int(PREFERRED_EVEN_SHARES * self._even_share * len(self._order))
+        self.preferred = min(len(self._order), max(MIN_PREFERRED_ENDPOINTS, fair))
 
     def prefers(self, rank: float) -> bool:
+        """Returns whether an endpoint of this rank is among the preferred ones."""
         return bool(self._order) and rank <= self._order[self.preferred - 1][0]
 
-    def at(self, place: int) -> api.EndpointId:
-        return self._order[place][1]
+    def at(self, index: int) -> api.EndpointId:
+        """Returns the endpoint at an index of the order, from 0."""
+        return self._order[index][1]
 
     def first(self, count: int) -> list[api.EndpointId]:
-        return [engine for _, engine in self._order[:count]]
+        """Returns the first endpoints of the order, at most `count`."""
+        return [endpoint_id for _, endpoint_id in self._order[:count]]
 
     def fill(self, ranked: list[tuple[float, api.EndpointId]]) -> None:
+        """Replaces all endpoints; given as ranks and ids, in any order."""
         self._order = sorted(ranked)
         self._resize()
 
-    def add(self, rank: float, engine: api.EndpointId) -> None:
-        insort(self._order, (rank, engine))
+    def add(self, rank: float, endpoint_id: api.EndpointId) -> None:
+        """Adds an endpoint."""
+        insort(self._order, (rank, endpoint_id))
         self._resize()
 
-    def remove(self, rank: float, engine: api.EndpointId) -> None:
-        place = bisect_left(self._order, (rank, engine))
-        if place < len(self._order) and self._order[place][1] == engine:
-            del self._order[place]
+    def remove(self, rank: float, endpoint_id: api.EndpointId) -> None:
+        """Removes an endpoint, if it is there."""
+        index = bisect_left(self._order, (rank, endpoint_id))
+        if index < len(self._order) and self._order[index][1] == endpoint_id:
+            del self._order[index]
             self._resize()
 
 
+@dataclass(frozen=True, slots=True, eq=False)
+class _IndexedDomain:
+    domain: Domain
+    admits: Callable[[api.EndpointEntry], bool]
+
+
 class Catalog:
-    """`even_share`: one part in as many gateways as there are. `cores_of`: of an endpoint's kind."""
+    """The entries of the list, the cores of the ready ones, and the domains that profiles may run in."""
 
     def __init__(self, seed: int, even_share: float, cores_of: Callable[[int], float]) -> None:
+        """`seed`: of this gateway's preference. `even_share`: of one gateway, 0 to 1. `cores_of`: returns the
+        cores of an endpoint of a kind."""
         self.entries: dict[api.EndpointId, api.EndpointEntry] = {}
         self.ready_cores = 0.0
         self.cores_by_class = Counter[tuple[int, int]]()  # of ready endpoints, by zone and kind
         self._endpoints_by_class = Counter[tuple[int, int]]()
-        self._seed, self._even_share, self._cores_of = seed, even_share, cores_of
+        self._seed = seed
+        self._even_share = even_share
+        self._cores_of = cores_of
         self._ranks: dict[api.EndpointId, float] = {}
-        self._domains: dict[DomainKey, tuple[Domain, Callable[[api.EndpointEntry], bool]]] = {}
+        self._domains: dict[DomainKey, _IndexedDomain] = {}
 
     @property
     def ready(self) -> int:
+        """The number of ready endpoints."""
         return self._endpoints_by_class.total()
 
-    def rank(self, engine: api.EndpointId) -> float:
-        """Its place in this gateway's preference, in (0, 1]; 2 where it is not listed."""
-        return self._ranks.get(engine, 2.0)
+    def rank(self, endpoint_id: api.EndpointId) -> float:
+        """Returns an endpoint's rank in this gateway's preference, in (0, 1], the least first.
+
+        Where it is not listed, it ranks behind all others.
+        """
+        return self._ranks.get(endpoint_id, UNLISTED_RANK)
 
     def domain(self, key: DomainKey, admits: Callable[[api.EndpointEntry], bool]) -> Domain:
-        """Made when it is first asked for; follows the list from then on."""
-        found = self._domains.get(key)
-        if found is None:
-            found = self._domains[key] = (Domain(key, self._even_share), admits)
-            self._fill(*found)
-        return found[0]
+        """Returns the domain of a key. It is made when first asked for and follows the list from then on.
+
+        `admits`: whether an entry belongs to it; the same function for the same key.
+        """
+        indexed = self._domains.get(key)
+        if indexed is None:
+            indexed = _IndexedDomain(Domain(key, self._even_share), admits)
+            self._domains[key] = indexed
+            self._fill(indexed)
+        return indexed.domain
 
     def forget_domains(self) -> None:
-        """What domains admit has changed: they are made anew when next asked for."""
+        """Drops all domains, since what they admit has changed; they are made anew when next asked for."""
         self._domains.clear()
 
-    def apply(self, engines: Iterable[api.EndpointEntry], *, whole: bool) -> list[EntryChange]:
-        """Takes a list, or changes of one, and returns what differs now. Endpoints that are gone are listed
-        no more."""
+    def apply(self, entries: Iterable[api.EndpointEntry], *, complete: bool) -> list[EntryChange]:
+        """Applies a complete list, or changes of one, and returns what differs now.
+
+        Removed endpoints are dropped from the entries. Of entries with the same id the last one counts.
+        """
         changes: list[EntryChange] = []
-        listed = {entry.id: entry for entry in engines}  # the last of those that name the same
+        listed = {entry.id: entry for entry in entries}
         for entry in listed.values():
             before = self.entries.get(entry.id)
             after = None if entry.status is api.EndpointStatus.REMOVED else entry
             if before != after:
                 changes.append(EntryChange(entry.id, before, after))
                 self._set(entry.id, after)
-        if whole:
-            for engine in [engine for engine in self.entries if engine not in listed]:
-                changes.append(EntryChange(engine, self.entries[engine], None))
-                self._set(engine, None)
-        self._follow(changes)
+        if complete:
+            for endpoint_id in [known for known in self.entries if known not in listed]:
+                changes.append(EntryChange(endpoint_id, self.entries[endpoint_id], None))
+                self._set(endpoint_id, None)
+        self._update_sums_and_domains(changes)
         return changes
 
-    def _set(self, engine: api.EndpointId, entry: api.EndpointEntry | None) -> None:
+    def _set(self, endpoint_id: api.EndpointId, entry: api.EndpointEntry | None) -> None:
         if entry is None:
-            self.entries.pop(engine, None)
+            self.entries.pop(endpoint_id, None)
         else:
-            self.entries[engine] = entry
+            self.entries[endpoint_id] = entry
 
-    def _follow(self, changes: list[EntryChange]) -> None:
+    def _update_sums_and_domains(self, changes: list[EntryChange]) -> None:
         for change in changes:
             self._count(change.before, -1)
             self._count(change.after, 1)
             if change.id not in self._ranks:
                 self._ranks[change.id] = unit_hash(change.id, self._seed)
-        for domain, admits in self._domains.values():
-            if len(changes) * REBUILD_PART > len(domain):
-                self._fill(domain, admits)
-                continue
-            for change in changes:
-                if change.was_ready and change.before is not None and admits(change.before):
-                    domain.remove(self._ranks[change.id], change.id)
-                if change.is_ready and change.after is not None and admits(change.after):
-                    domain.add(self._ranks[change.id], change.id)
+        for indexed in self._domains.values():
+            self._update_domain(indexed, changes)
         for change in changes:
             if change.after is None:
                 del self._ranks[change.id]
 
+    def _update_domain(self, indexed: _IndexedDomain, changes: list[EntryChange]) -> None:
+        domain = indexed.domain
+        if len(changes) * REBUILD_DIVISOR > len(domain):
+            self._fill(indexed)
+            return
+        for change in changes:
+            if change.was_ready and change.before is not None and indexed.admits(change.before):
+                domain.remove(self._ranks[change.id], change.id)
+            if change.is_ready and change.after is not None and indexed.admits(change.after):
+                domain.add(self._ranks[change.id], change.id)
+
     def _count(self, entry: api.EndpointEntry | None, sign: int) -> None:
         if entry is None or entry.status is not api.EndpointStatus.READY:
             return
-        name, cores = (entry.zone, entry.kind), self._cores_of(entry.kind)
-        self._endpoints_by_class[name] += sign
-        self.cores_by_class[name] += sign * cores  # type: ignore[assignment]
+        endpoint_class = (entry.zone, entry.kind)
+        cores = self._cores_of(entry.kind)
+        self._endpoints_by_class[endpoint_class] += sign
+        self.cores_by_class[endpoint_class] += sign * cores  # type: ignore[assignment]
         self.ready_cores += sign * cores
-        if not self._endpoints_by_class[name]:
-            del self._endpoints_by_class[name], self.cores_by_class[name]
-            self.ready_cores = float(sum(self.cores_by_class.values()))  # no sum of rounding errors
+        if not self._endpoints_by_class[endpoint_class]:
+            del self._endpoints_by_class[endpoint_class]
+            del self.cores_by_class[endpoint_class]
+            self.ready_cores = float(sum(self.cores_by_class.values()))  # rounding errors don't add up
 
-    def _fill(self, domain: Domain, admits: Callable[[api.EndpointEntry], bool]) -> None:
+    def _fill(self, indexed: _IndexedDomain) -> None:
         ready = api.EndpointStatus.READY
-        domain.fill(
-            [
-                (self._ranks[entry.id], entry.id)
-                for entry in self.entries.values()
-                if entry.status is ready and admits(entry)
-            ]
-        )
+        admitted = [
+            entry for entry in self.entries.values() if entry.status is ready and indexed.admits(entry)
+        ]
+        indexed.domain.fill([(self._ranks[entry.id], entry.id) for entry in admitted])
 
 
-def gone(entry: api.EndpointEntry) -> api.EndpointEntry:
-    """The entry of an endpoint that is listed no more."""
+def removed(entry: api.EndpointEntry) -> api.EndpointEntry:
+    """Returns the entry of an endpoint that is no longer listed."""
     return replace(entry, status=api.EndpointStatus.REMOVED)
--- /dev/null
+++ b/lotusstream/policy/domains.py
@@ -0,0 +1,45 @@
+"""Which endpoints a request may run at, by its profile and cell."""
+
+from __future__ import annotations
+
+from lotusstream import interface as api
+from lotusstream.policy.catalog import Catalog, Domain
+from lotusstream.policy.pools import Pools
+from lotusstream.policy.state import Request
+
+
+class Domains:
+    """The domains of the catalog's endpoints; they change with the list and with the cells."""
+
+    def __init__(self, catalog: Catalog, pools: Pools) -> None:
+        self._catalog = catalog
+        self._pools = pools
+
+    def all_endpoints(self) -> Domain:
+        """Returns the domain of all ready endpoints."""
+        return self._catalog.domain((None, None, None), _admits_all)
+
+    def of_request(self, request: Request) -> Domain:
+        """Returns the domain that a request may run in."""
+        profile = request.profile
+        cell = request.cell
+        if cell is None:
+            return self._catalog.domain((profile.zones, profile.kinds, None), profile.admits)
+        in_cell = self._pools.endpoints_of_cell(cell)
+        return self._catalog.domain(
+            (profile.zones, profile.kinds, cell),
+            lambda entry: entry.id in in_cell and profile.admits(entry),
+        )
+
+    def is_preferred(self, request: Request, domain: Domain, endpoint_id: api.EndpointId) -> bool:
+        """Returns whether an endpoint is among those of the request's domain that this gateway prefers."""
+        entry = self._catalog.entries.get(endpoint_id)
+        if entry is None or entry.status is not api.EndpointStatus.READY:
+            return False
+        if not domain.prefers(self._catalog.rank(endpoint_id)) or not request.profile.admits(entry):
+            return False
+        return request.cell is None or endpoint_id in self._pools.endpoints_of_cell(request.cell)
+
+
+def _admits_all(_entry: api.EndpointEntry) -> bool:
+    return True
--- /dev/null
+++ b/lotusstream/policy/eligibility.py
@@ -0,0 +1,27 @@
+"""Whether an endpoint of a request's domain may take its next attempt."""
+
+from __future__ import annotations
+
+from lotusstream.policy.outlier_ejection import OutlierEjection
+from lotusstream.policy.retries import RetryPolicy
+from lotusstream.policy.slow_start import SlowStart
+from lotusstream.policy.state import Endpoint, Request
+
+
+class Eligibility:
+    """Asks rules that may exclude an endpoint; RetryPolicy.may_attempt is asked once a request, before."""
+
+    def __init__(self, ejection: OutlierEjection, retries: RetryPolicy, slow_start: SlowStart) -> None:
+        self._ejection = ejection
+        self._retries = retries
+        self._slow_start = slow_start
+
+    def admits(self, request: Request, endpoint: Endpoint) -> bool:
+        """Returns whether no rule excludes the endpoint."""
+        if not self._ejection.admits(endpoint):
+            return False
+        if request.attempts and endpoint.retry_credit < 1:
+            return False
+        return self._retries.may_repeat_at(request, endpoint) and self._slow_start.admits(
+            endpoint, request.typical_work
+        )
--- a/lotusstream/policy/limits.py
+++ b/lotusstream/policy/limits.py
@@ -1,7 +1,7 @@
 """How many threads a gateway may have at an endpoint: limits that adapt to latency, per endpoint and pool.
 
-An endpoint is overloaded where its latency is well above the best of its pool, or where it refused as full;
-then its limit binds. While enough of a pool is overloaded the limits of all bind.
+An endpoint is overloaded where its latency is well above the best of its pool, or where it rejected an
+attempt as full; then its limit binds. While enough of a pool is overloaded the limits of all bind.
 """
 
 from __future__ import annotations
@@ -9,110 +9,155 @@
 import math
 
 from lotusstream import interface as api
+from lotusstream.policy.context import DecisionContext
+from lotusstream.policy.endpoint_states import EndpointStates
+from lotusstream.policy.pools import MAX_LIMIT_FACTOR
 from lotusstream.policy.state import Endpoint, Pool
 
-ENOUGH = 16  # answers that tell a latency ratio
-OPEN_FACTOR = 2.0  # threads a core that a limit may reach
-LEAST_FACTOR = 1.0  # and may shrink to
+ENOUGH_ANSWERS = 16  # that make a latency ratio reliable
+ENDPOINT_PRIOR_WEIGHT = ENOUGH_ANSWERS / 4  # answers that the pool's ratio counts for an endpoint's
+POOL_PRIOR_WEIGHT = ENOUGH_ANSWERS / 8  # answers that a ratio of 1 counts for a pool's
+MIN_LIMIT_FACTOR = 1.0  # threads a core
 OVERLOADED_RATIO = 2.0  # of a latency ratio over the best: overloaded
-NEAR_BEST_RATIO = 1.5  # under it: a limit may grow
-OVERLOADED_PART = 0.1  # of a pool's cores, overloaded, that binds all limits
-RUNAWAY_RATIO = 5.0  # expected latencies after which an attempt tells no more of its endpoint
+NEAR_BEST_RATIO = 1.5  # of a latency ratio over the best: a limit may grow below it
+OVERLOADED_CORES_RATIO = 0.1  # of a pool's cores, overloaded, at which the limits of all bind
+RUNAWAY_RATIO = 5.0  # expected latencies after which an attempt says no more of its endpoint
 
 
 class ConcurrencyLimits:
-    """`shortest`: the shortest latency target, in microseconds; limits change twofold in that time."""
+    """Computes and adapts limits; they change at most twofold within the shortest latency objective."""
 
-    def __init__(self, shortest: int) -> None:
-        self._shortest = shortest
+    def __init__(self, context: DecisionContext, states: EndpointStates) -> None:
+        self._context = context
+        self._states = states
 
-    def begin_pool(self, pool: Pool, now: int, share: float) -> None:
-        """The pool's own latency; the endpoints that have changed are gauged next, by `gauge`."""
-        recent = pool.latency_ratios.latest(now, 0.0, ENOUGH / 8, ENOUGH)
+    def compute_pool(self, pool: Pool) -> None:
+        """Computes the pool's latency, the limits of the endpoints that have changed, and its sums."""
+        self._compute_baseline(pool)
+        for endpoint in pool.changed:
+            self.compute(endpoint)
+        self._compute_sums(pool)
+
+    def _compute_baseline(self, pool: Pool) -> None:
+        recent = pool.latency_ratios.latest(self._context.now, 0.0, POOL_PRIOR_WEIGHT, ENOUGH_ANSWERS)
         pool.baseline_ratio = max(1.0, math.exp(recent))
-        pool.all_overloaded = pool.baseline_ratio > OVERLOADED_RATIO * pool.floor
-        pool.limit_per_core = share * (pool.limit_factor if pool.all_overloaded else OPEN_FACTOR)
+        pool.latency_overloaded = pool.baseline_ratio > OVERLOADED_RATIO * pool.reference_ratio
+        factor = pool.limit_factor if pool.latency_overloaded else MAX_LIMIT_FACTOR
+        pool.limit_per_core = self._context.share * factor
 
-    def end_pool(self, pool: Pool, share: float) -> None:
-        """The pool's sums; endpoints that are not active count by their cores."""
+    def _compute_sums(self, pool: Pool) -> None:
+        """Endpoints that are not active count by their cores."""
         pool.changed.clear()
-        unknown = max(0.0, pool.cores - pool.sums.cores)
-        overloaded = pool.sums.overloaded_cores + (unknown if pool.all_overloaded else 0.0)
-        pool.overloaded = overloaded > OVERLOADED_PART * pool.cores
-        limits = pool.sums.concurrency_limits + unknown * pool.limit_per_core
-        pool.free_capacity = limits - pool.out
-        pool.others = (1 / share - 1) * pool.out / max(1.0, pool.cores)  # threads a core, as known
-
-    def gauge(self, endpoint: Endpoint, now: int, share: float, known: bool) -> None:
-        """An endpoint's latency ratio and limit. Few answers of one weigh less than those of all. `known`:
-        it counts among the active where it is."""
-        pool, best = endpoint.pool, endpoint.pool.floor
-        endpoint.gauged_at = now
+        inactive_cores = max(0.0, pool.cores - pool.sums.cores)
+        overloaded_cores = pool.sums.overloaded_cores + (inactive_cores if pool.latency_overloaded else 0.0)
+        pool.overloaded = overloaded_cores > OVERLOADED_CORES_RATIO * pool.cores
+        limits = pool.sums.concurrency_limits + inactive_cores * pool.limit_per_core
+        pool.free_capacity = limits - pool.threads
+        pool.peer_threads_per_core = (1 / self._context.share - 1) * pool.threads / max(1.0, pool.cores)
+
+    def compute(self, endpoint: Endpoint) -> None:
+        """Computes an endpoint's latency ratio and limit, and whether it counts as active.
+
+        Few answers of one endpoint weigh less than those of all.
+        """
+        now = self._context.now
+        pool = endpoint.pool
+        reference = pool.reference_ratio
+        endpoint.limit_computed_at = now
         endpoint.latency_ratio = pool.baseline_ratio
         if endpoint.latency_ratios is not None:
             prior = math.log(pool.baseline_ratio)
-            endpoint.latency_ratio = math.exp(endpoint.latency_ratios.latest(now, prior, ENOUGH / 4, ENOUGH))
-        refused = endpoint.full_at is not None and now - endpoint.full_at < self._shortest
-        full = endpoint.threads >= max(1.0, OPEN_FACTOR * endpoint.cores * share)
+            recent = endpoint.latency_ratios.latest(now, prior, ENDPOINT_PRIOR_WEIGHT, ENOUGH_ANSWERS)
+            endpoint.latency_ratio = math.exp(recent)
+        rejected = (
+            endpoint.rejected_at is not None and now - endpoint.rejected_at < self._context.shortest_objective
+        )
+        share = self._context.share
+        full = endpoint.threads >= max(1.0, MAX_LIMIT_FACTOR * endpoint.cores * share)
         endpoint.overloaded = (
-            refused
-            or (full and max(endpoint.latency_ratio, endpoint.stalled_ratio) > NEAR_BEST_RATIO * best)
-            or max(endpoint.latency_ratio, endpoint.overdue_ratio) > OVERLOADED_RATIO * best
+            rejected
+            or (full and max(endpoint.latency_ratio, endpoint.stalled_ratio) > NEAR_BEST_RATIO * reference)
+            or max(endpoint.latency_ratio, endpoint.overdue_ratio) > OVERLOADED_RATIO * reference
         )
-        factor = endpoint.limit_factor if endpoint.overloaded else OPEN_FACTOR
+        factor = endpoint.limit_factor if endpoint.overloaded else MAX_LIMIT_FACTOR
         endpoint.concurrency_limit = endpoint.cores * share * factor
         if (
-            known
+            self._states.is_retained(endpoint)
             and endpoint.entry.status is api.EndpointStatus.READY
-            and (endpoint.out or endpoint.overloaded)
+            and (endpoint.running or endpoint.overloaded)
         ):
             pool.count(endpoint)
         else:
             pool.discount(endpoint)
 
-    def take_in_outstanding(self, endpoint: Endpoint, now: int) -> None:
-        """Guards against an endpoint so crowded, or full of what stands still, that it tells nothing: what is
-        out there counts at its present age."""
+    def adapt_endpoint(self, endpoint: Endpoint) -> None:
+        """Adapts the factor of an endpoint's limit to its latency."""
+        self._adapt(endpoint, endpoint.latency_ratio, endpoint.pool)
+
+    def adapt_pool(self, pool: Pool) -> None:
+        """Adapts the factor of the limits of a pool's endpoints of which nothing is known."""
+        self._adapt(pool, pool.baseline_ratio, pool)
+
+    def _adapt(self, limited: Endpoint | Pool, latency_ratio: float, pool: Pool) -> None:
+        now = self._context.now
+        step = math.pow(2.0, min(1.0, (now - limited.limit_adjusted_at) / self._context.shortest_objective))
+        limited.limit_adjusted_at = now
+        if latency_ratio < NEAR_BEST_RATIO * pool.best_ratio:
+            limited.limit_factor = min(MAX_LIMIT_FACTOR, limited.limit_factor * step)
+        elif latency_ratio > OVERLOADED_RATIO * pool.best_ratio:
+            limited.limit_factor = max(MIN_LIMIT_FACTOR, limited.limit_factor / step)
+
+    def include_running_attempts(self, endpoint: Endpoint) -> None:
+        """Updates the latency ratios that an endpoint's running attempts show, at their present age.
+
+        Guards against an endpoint so crowded, or so full of stalled attempts, that none ends: it would show
+        no latency at all and go on looking idle.
+        """
         baseline = endpoint.pool.baseline_ratio
-        endpoint.overdue_ratio = endpoint.stalled_ratio = baseline
-        if not endpoint.out:
+        endpoint.overdue_ratio = baseline
+        endpoint.stalled_ratio = baseline
+        if not endpoint.running:
             return
-        late = [
-            (min(RUNAWAY_RATIO * t.alone, now - t.started_at) / t.alone * request.profile.threads, t.stalled)
-            for request, t in endpoint.out.values()
-        ]
-        endpoint.overdue_ratio, endpoint.stalled_ratio = (
-            (sum([part for part, stalled in late if count or not stalled]) + endpoint.cores * baseline)
-            / (endpoint.threads + endpoint.cores)
-            for count in (False, True)
-        )
-
-    def adapt(self, limited: Endpoint | Pool, latency_ratio: float, pool: Pool, now: int) -> None:
-        """The factor of an endpoint's limit, or of all endpoints of a pool of which nothing is known."""
-        step = math.pow(2.0, min(1.0, (now - limited.adjusted_at) / self._shortest))
-        limited.adjusted_at = now
-        if latency_ratio < NEAR_BEST_RATIO * pool.best:
-            limited.limit_factor = min(OPEN_FACTOR, limited.limit_factor * step)
-        elif latency_ratio > OVERLOADED_RATIO * pool.best:
-            limited.limit_factor = max(LEAST_FACTOR, limited.limit_factor / step)
+        now = self._context.now
+        ratios: list[float] = []
+        unstalled_ratios: list[float] = []
+        for running in endpoint.running.values():
+            attempt = running.attempt
+            age = min(RUNAWAY_RATIO * attempt.ideal_latency, now - attempt.started_at)
+            ratio = age / attempt.ideal_latency * running.request.profile.threads
+            ratios.append(ratio)
+            if not attempt.stalled:
+                unstalled_ratios.append(ratio)
+        prior = endpoint.cores * baseline
+        weight = endpoint.threads + endpoint.cores
+        endpoint.overdue_ratio = (sum(unstalled_ratios) + prior) / weight
+        endpoint.stalled_ratio = (sum(ratios) + prior) / weight
 
 
 def fits(threads: int, endpoint: Endpoint) -> bool:
-    """Whether so many threads may be added. An endpoint that is not overloaded yet is bounded too while
-    others are: guards against all that they can't take being poured on it at once."""
-    pool, limit = endpoint.pool, endpoint.concurrency_limit
+    """Returns whether an attempt with so many threads may be added to an endpoint.
+
+    An endpoint that is not overloaded yet is limited too while others are: guards against all that those
+    can't take being sent to it at once.
+    """
+    pool = endpoint.pool
+    limit = endpoint.concurrency_limit
     if not (endpoint.overloaded or pool.overloaded) or endpoint.threads + threads <= limit:
         return True
-    thin = limit < threads  # than one request: one while none runs, and all limits are one pool
-    if thin and not pool.out:
+    # then the endpoints of the pool share their limits, and one attempt may run where none does
+    below_one_attempt = limit < threads
+    if below_one_attempt and not pool.threads:
         return True
     if threads == 1 or pool.free_capacity < 1:
-        return thin and not endpoint.threads and pool.free_capacity >= 1
-    # guards wide requests against small ones that take each thread as it falls free
-    alike = sum(
-        request.profile.threads
-        for near in (pool.active if thin else [endpoint])
-        for request, _ in near.out.values()
-        if request.profile.threads >= threads
+        return below_one_attempt and not endpoint.threads and pool.free_capacity >= 1
+    # guards wide requests against narrow ones that take each thread as it becomes free
+    neighbours = pool.active if below_one_attempt else [endpoint]
+    wide_threads = sum(
+        running.request.profile.threads
+        for neighbour in neighbours
+        for running in neighbour.running.values()
+        if running.request.profile.threads >= threads
+    )
+    return wide_threads + threads <= max(
+        pool.free_capacity + pool.threads if below_one_attempt else limit, threads
     )
-    return alike + threads <= max(pool.free_capacity + pool.out if thin else limit, threads)
--- /dev/null
+++ b/lotusstream/policy/open_requests.py
@@ -0,0 +1,38 @@
+"""The requests without a final answer, and how they end."""
+
+from __future__ import annotations
+
+from lotusstream import interface as api
+from lotusstream.policy.context import DecisionContext
+from lotusstream.policy.key_ordering import KeyOrdering
+from lotusstream.policy.state import Attempt, Request
+
+
+class OpenRequests:
+    """`by_id`: the requests without a final answer. `waiting`: those of them that wait for an attempt."""
+
+    def __init__(self, context: DecisionContext, key_ordering: KeyOrdering) -> None:
+        self._context = context
+        self._key_ordering = key_ordering
+        self.by_id: dict[int, Request] = {}
+        self.waiting: dict[int, Request] = {}
+
+    def add(self, request: Request) -> None:
+        """A request has come, and waits for its first attempt."""
+        self.by_id[request.id] = request
+        self.waiting[request.id] = request
+        self._key_ordering.enqueue(request)
+
+    def close(self, request: Request) -> None:
+        """The request needs no further answer; what still runs of it is cancelled."""
+        self.by_id.pop(request.id, None)
+        self.waiting.pop(request.id, None)
+        for attempt in request.running_attempts:
+            self.cancel(request, attempt)
+        self._key_ordering.remove(request)
+
+    def cancel(self, request: Request, attempt: Attempt) -> None:
+        """Cancels a running attempt, where the deployment allows it."""
+        if self._context.capabilities.cancellation and not attempt.cancelled:
+            attempt.cancelled = True
+            self._context.actions.append(api.CancelAttempt(request.id, attempt.number))
--- /dev/null
+++ b/lotusstream/policy/overdue_attempts.py
@@ -0,0 +1,94 @@
+"""Running attempts that take too long: cancelled, so that the request is sent elsewhere."""
+
+from __future__ import annotations
+
+import math
+
+from lotusstream.policy.context import REMAINING_AGE_DIVISOR, DecisionContext
+from lotusstream.policy.endpoint_learning import EndpointLearning
+from lotusstream.policy.limits import RUNAWAY_RATIO
+from lotusstream.policy.open_requests import OpenRequests
+from lotusstream.policy.outlier_ejection import OVERDUE_RATIO, OutlierEjection
+from lotusstream.policy.retries import RetryPolicy
+from lotusstream.policy.state import Attempt, Request
+
+RETRY_LATENCIES = 2  # usual latencies that a retry needs to end in time
+
+
+class OverdueAttempts:
+    """Guards requests against silent endpoints, runaway query plans, and endpoints far slower than others."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        retries: RetryPolicy,
+        ejection: OutlierEjection,
+        learning: EndpointLearning,
+        open_requests: OpenRequests,
+    ) -> None:
+        self._context = context
+        self._retries = retries
+        self._ejection = ejection
+        self._learning = learning
+        self._open_requests = open_requests
+
+    def reconsider(self, request: Request) -> None:
+        """Cancels the request's latest running attempt, if another one may follow and promises more."""
+        attempt = request.running_attempts[-1]
+        if attempt.cancelled or not self._context.capabilities.cancellation:
+            return
+        if not self._retries.may_attempt(request):
+            return
+        if self._is_at_silent_endpoint(attempt):
+            self._ejection.eject(attempt.endpoint)  # also where a trial request falls silent
+            self._open_requests.cancel(request, attempt)
+        elif self._is_runaway(request, attempt):
+            request.runaway_count += 1
+            self._learn_runaway(request, attempt)
+            self._open_requests.cancel(request, attempt)
+
+    def _is_at_silent_endpoint(self, attempt: Attempt) -> bool:
+        endpoint = attempt.endpoint
+        if not endpoint.ejected_until or not endpoint.unresponsive:
+            return False
+        age = self._context.now - attempt.started_at
+        return attempt.started_at <= endpoint.ejected_at or age > OVERDUE_RATIO * attempt.expected_latency
+
+    def _is_runaway(self, request: Request, attempt: Attempt) -> bool:
+        """Whether it takes several times what is usual, and a retry would end sooner."""
+        if request.profile.is_load or attempt.stalled:
+            return False
+        now = self._context.now
+        usual = self._usual_latency(request, attempt)
+        remaining = self._remaining(attempt)
+        is_late = now + remaining > max(request.soft_deadline, now + RETRY_LATENCIES * usual)
+        return is_late and self._total(attempt) > RUNAWAY_RATIO * usual * 2**request.runaway_count
+
+    def _usual_latency(self, request: Request, attempt: Attempt) -> float:
+        """Returns the latency of such a request in the attempt's pool, in microseconds."""
+        pool = attempt.endpoint.pool
+        log_ratio = pool.estimates[request.profile_index].latency_ratios.mean(self._context.now, 0.0, 1.0)
+        ideal_latency = request.work / request.profile.threads
+        return ideal_latency * max(pool.baseline_ratio, math.exp(log_ratio))
+
+    def _remaining(self, attempt: Attempt) -> float:
+        """Returns how long the attempt is expected to run on, in microseconds."""
+        now = self._context.now
+        age = now - attempt.started_at
+        if not attempt.progress_reported:
+            return float(age)
+        return max(attempt.expected_end - now, age / REMAINING_AGE_DIVISOR)
+
+    def _total(self, attempt: Attempt) -> float:
+        """Returns how long it runs in all, in microseconds; 0 where progress is yet to be reported."""
+        age = self._context.now - attempt.started_at
+        if attempt.progress_reported:
+            return age + self._remaining(attempt)
+        return 0 if self._context.settings.progress_interval else age
+
+    def _learn_runaway(self, request: Request, attempt: Attempt) -> None:
+        """Takes in what the attempt would have taken: by its age it would look like a short one."""
+        age = self._context.now - attempt.started_at
+        ideal_latency = request.work / request.profile.threads
+        latency = max(age, min(self._total(attempt), RUNAWAY_RATIO * ideal_latency))
+        self._learning.learn_latency(attempt.endpoint, request, int(latency), ideal_latency)
--- a/lotusstream/policy/overload.py
+++ b/lotusstream/policy/overload.py
@@ -2,14 +2,14 @@
 
 Source: controlled delay (CoDel, RFC 8289): a queue whose delay stays above a target for a whole interval is
 a standing queue, and one that falls below the target in between is a burst. While a queue stands, requests
-that have waited longer than the target are refused at once: those behind them are decided in time, and what
+that have waited longer than the target are rejected at once: those behind them are decided in time, and what
 has been waiting longest would be decided too late.
 """
 
 from __future__ import annotations
 
-TARGET = 40_000  # microseconds
-INTERVAL = 300_000
+QUEUE_DELAY_TARGET_US = 40_000
+QUEUE_DELAY_INTERVAL_US = 300_000
 
 
 class QueueDelay:
@@ -17,15 +17,15 @@
 
     def __init__(self) -> None:
         self.overloaded = False
-        self._above_since: int | None = None
+        self._above_target_since: int | None = None
 
-    def refuses(self, now: int, waited: int) -> bool:
-        """Takes in a request's delay, in microseconds; True where the request is to be refused."""
-        if waited < TARGET:
-            self._above_since = None
+    def rejects(self, now: int, delay: int) -> bool:
+        """Takes in a request's delay, in microseconds; returns whether the request is to be rejected."""
+        if delay < QUEUE_DELAY_TARGET_US:
+            self._above_target_since = None
             self.overloaded = False
             return False
-        if self._above_since is None:
-            self._above_since = now
-        self.overloaded = self.overloaded or now - self._above_since >= INTERVAL
+        if self._above_target_since is None:
+            self._above_target_since = now
+        self.overloaded = self.overloaded or now - self._above_target_since >= QUEUE_DELAY_INTERVAL_US
         return self.overloaded
--- /dev/null
+++ b/lotusstream/policy/placement.py
@@ -0,0 +1,206 @@
+"""Placement: the endpoint at which a request's next attempt starts.
+
+Shortest makespan first (SMF): the attempt goes where it adds the least stall, its own or that of others. Of
+endpoints that add the same the least crowded, fastest and warmest one is taken, and a draw decides the rest.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from lotusstream import interface as api
+from lotusstream.policy.affinity_sets import AffinitySet, AffinitySets
+from lotusstream.policy.catalog import Domain
+from lotusstream.policy.context import DOMINANT_SHARE, REMAINING_AGE_DIVISOR, DecisionContext
+from lotusstream.policy.domains import Domains
+from lotusstream.policy.eligibility import Eligibility
+from lotusstream.policy.endpoint_evaluation import EndpointEvaluation
+from lotusstream.policy.endpoint_states import EndpointStates
+from lotusstream.policy.limits import fits
+from lotusstream.policy.retries import RetryPolicy
+from lotusstream.policy.slow_start import SlowStart
+from lotusstream.policy.spare_capacity import SpareCapacity
+from lotusstream.policy.state import Endpoint, Request
+
+FULL_SCAN_ENDPOINTS = 40  # domains no larger than this are compared as a whole
+SAMPLED_ENDPOINTS = 10  # drawn from the preferred ones of a larger domain
+WARM_SAMPLED_ENDPOINTS = 8  # and those that have the table group cached
+WIDENED_SAMPLE_ENDPOINTS = 48  # drawn from the whole domain, where none of these fits
+WARM_WORK_RATIO = 0.75  # work that is left to a request whose table group is cached
+
+
+@dataclass(frozen=True, slots=True)
+class Placement:
+    """The endpoint that a request's next attempt would start at."""
+
+    endpoint: Endpoint
+    added_stall: float  # microseconds
+
+
+@dataclass(slots=True)
+class _Candidate:
+    endpoint: Endpoint
+    added_stall: float  # microseconds
+    cost: float  # crowding, slowness and coldness, as a factor of the least possible
+
+
+class PlacementPolicy:
+    """Chooses endpoints; the work of a choice does not grow with the list."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        domains: Domains,
+        states: EndpointStates,
+        affinity_sets: AffinitySets,
+        spare_capacity: SpareCapacity,
+        evaluation: EndpointEvaluation,
+        eligibility: Eligibility,
+        retries: RetryPolicy,
+        slow_start: SlowStart,
+    ) -> None:
+        self._context = context
+        self._domains = domains
+        self._states = states
+        self._affinity_sets = affinity_sets
+        self._spare_capacity = spare_capacity
+        self._evaluation = evaluation
+        self._eligibility = eligibility
+        self._retries = retries
+        self._slow_start = slow_start
+
+    def place(self, request: Request) -> Placement | None:
+        """Returns where the request's next attempt would start; None if it has to wait."""
+        if request.attempts and not self._retries.may_attempt(request):
+            return None
+        domain = self._domains.of_request(request)
+        affinity_set: AffinitySet = {}
+        if self._context.share < DOMINANT_SHARE:
+            affinity_set = self._affinity_sets.of_request(request)
+        if len(domain) <= FULL_SCAN_ENDPOINTS:
+            return self._best_of(request, affinity_set, domain.first(FULL_SCAN_ENDPOINTS))
+        sampled = dict.fromkeys(self._sample_warm(request, domain, affinity_set))
+        self._sample(domain, domain.preferred, SAMPLED_ENDPOINTS, sampled)
+        found = self._best_of(request, affinity_set, sampled)
+        if found is not None:
+            return found
+        rejected_count = len(sampled)
+        self._sample(domain, len(domain), WIDENED_SAMPLE_ENDPOINTS, sampled)
+        return self._best_of(request, affinity_set, [*sampled][rejected_count:])
+
+    def _sample_warm(
+        self, request: Request, domain: Domain, affinity_set: AffinitySet
+    ) -> list[api.EndpointId]:
+        """Returns some endpoints that have the request's group cached, as agreed or as seen here."""
+        if affinity_set:
+            warm = [*affinity_set]
+        else:
+            warm = [
+                endpoint_id
+                for endpoint_id in self._states.warm_endpoints(request.group)
+                if self._domains.is_preferred(request, domain, endpoint_id)
+            ]
+        if len(warm) <= WARM_SAMPLED_ENDPOINTS:
+            return warm
+        begin = self._context.random.next_integer() % len(warm)
+        return (warm + warm)[begin : begin + WARM_SAMPLED_ENDPOINTS]
+
+    def _sample(
+        self, domain: Domain, population: int, size: int, sampled: dict[api.EndpointId, None]
+    ) -> None:
+        """Adds endpoints drawn from the first `population` of a domain; fewer where one is drawn twice."""
+        for _ in range(min(size, population)):
+            sampled[domain.at(self._context.random.next_integer() % population)] = None
+
+    def _best_of(
+        self, request: Request, affinity_set: AffinitySet, endpoint_ids: Iterable[api.EndpointId]
+    ) -> Placement | None:
+        """Returns the best of some endpoints; None if none of them may take the request."""
+        usable = self._usable(request, endpoint_ids)
+        avoided = request.endpoints_to_avoid
+        preferred = [endpoint for endpoint in usable if endpoint not in avoided] or usable
+        if not preferred:
+            return None
+        candidates = []
+        for endpoint in preferred:
+            cost = self._cost(request, endpoint, affinity_set)
+            candidates.append(_Candidate(endpoint, self.added_stall(request, endpoint), cost))
+        least_stall = min([candidate.added_stall for candidate in candidates])
+        least = [candidate for candidate in candidates if candidate.added_stall == least_stall]
+        least_cost = min([candidate.cost for candidate in least])
+        equal = [candidate.endpoint for candidate in least if candidate.cost == least_cost]
+        if len(equal) == 1:
+            return Placement(equal[0], least_stall)
+        draws = [self._tie_break(request, endpoint, affinity_set) for endpoint in equal]
+        return Placement(equal[draws.index(min(draws))], least_stall)
+
+    def _usable(self, request: Request, endpoint_ids: Iterable[api.EndpointId]) -> list[Endpoint]:
+        """Returns the endpoints that have room for the request and may take it."""
+        threads = request.profile.threads
+        outdated = self._context.now - self._context.evaluation_interval
+        usable = []
+        for endpoint in [self._states.get(endpoint_id) for endpoint_id in endpoint_ids]:
+            if 0 <= endpoint.limit_computed_at <= outdated:
+                self._evaluation.refresh(endpoint)
+            if fits(threads, endpoint) and self._eligibility.admits(request, endpoint):
+                usable.append(endpoint)
+        return usable
+
+    def _cost(self, request: Request, endpoint: Endpoint, affinity_set: AffinitySet) -> float:
+        """Returns the cost of an endpoint: its crowding times its slowness, less where the group is cached.
+
+        A dominant gateway counts the request's own threads, and slow start as a part of the room. Others do
+        neither: guards wide endpoints against all gateways, which would all find them least crowded.
+        """
+        pool = endpoint.pool
+        if self._context.share >= DOMINANT_SHARE:
+            own = (endpoint.threads + request.profile.threads) / endpoint.cores
+            crowding = (pool.peer_threads_per_core + own) / self._slow_start.capacity_ratio(endpoint)
+        else:
+            crowding = pool.peer_threads_per_core + endpoint.threads / endpoint.cores
+        is_warm = endpoint.entry.id in affinity_set if affinity_set else request.group in endpoint.warm_groups
+        slowness = max(1.0, endpoint.latency_ratio / pool.baseline_ratio)
+        return max(1.0, crowding) * slowness * (WARM_WORK_RATIO if is_warm else 1.0)
+
+    def _tie_break(self, request: Request, endpoint: Endpoint, affinity_set: AffinitySet) -> float:
+        """Returns the least for the endpoint that ran the group last; a draw where sets are agreed."""
+        if not affinity_set and request.group in endpoint.warm_groups:
+            return -float(endpoint.warm_groups[request.group])
+        draw = self._spare_capacity.weighted_draw(request.random_value, request.profile, endpoint.entry)
+        if self._context.share >= DOMINANT_SHARE:
+            return draw
+        return draw / self._slow_start.capacity_ratio(endpoint)
+
+    def added_stall(self, request: Request, endpoint: Endpoint) -> float:
+        """Returns the stall, in microseconds, that the request would meet or cause at an endpoint: behind a
+        running load of its group and, as a load, for the requests that read the group."""
+        profile = request.profile
+        stall = 0.0
+        if profile.is_load or profile.waits_for_loads:
+            stall = self._stall_behind_load(request, endpoint)
+        if profile.is_load:
+            stall += self._stalled_readers(request, endpoint) * request.work / profile.threads
+        return stall
+
+    def _stall_behind_load(self, request: Request, endpoint: Endpoint) -> float:
+        load = endpoint.loads.get(request.group)
+        if load is None:
+            return 0.0
+        now = self._context.now
+        if load.request is None and load.expected_end <= now:
+            del endpoint.loads[request.group]
+            return 0.0
+        started_at = load.request.attempts[-1].started_at if load.request else now
+        return max(load.expected_end - now, (now - started_at) / REMAINING_AGE_DIVISOR)
+
+    def _stalled_readers(self, request: Request, endpoint: Endpoint) -> int:
+        """Returns the readers that a load would stall: those running there, and other gateways' as one."""
+        readers = sum(
+            running.request.group == request.group and running.request.profile.waits_for_loads
+            for running in endpoint.running.values()
+        )
+        others_read = self._context.share < DOMINANT_SHARE and endpoint.entry.id in (
+            self._affinity_sets.of_request(request)
+        )
+        return readers + others_read
--- /dev/null
+++ b/lotusstream/policy/pools.py
@@ -0,0 +1,61 @@
+"""Pools of endpoints that are judged together, and the cells of which they consist.
+
+Guards the tenants of one cell against what those of another do to their endpoints.
+"""
+
+from __future__ import annotations
+
+from lotusstream import interface as api
+from lotusstream.policy.context import DecisionContext
+from lotusstream.policy.estimates import ProfileEstimates
+from lotusstream.policy.state import Pool
+
+MAX_LIMIT_FACTOR = 2.0  # threads a core, the most that a concurrency limit allows
+LATENCY_WINDOW_OBJECTIVES = 8  # shortest latency objectives for which a latency counts
+
+PoolName = int | None  # None: the pool of endpoints outside all cells
+
+
+class Pools:
+    """The pools by name, the cells, and which pool an endpoint belongs to."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        self.latency_span = LATENCY_WINDOW_OBJECTIVES * context.shortest_objective  # microseconds
+        self.by_name: dict[PoolName, Pool] = {None: self._new_pool()}
+        self._cells: dict[int, api.CellEndpointsChanged] = {}  # the latest event of each
+        self._name_by_endpoint: dict[api.EndpointId, int] = {}
+
+    def _new_pool(self) -> Pool:
+        profiles = self._context.settings.profiles
+        longest_client_timeout = max(profile.client_timeout for profile in profiles)
+        estimates = [ProfileEstimates(profile, longest_client_timeout) for profile in profiles]
+        return Pool(self.latency_span, estimates, MAX_LIMIT_FACTOR)
+
+    def assign(self, event: api.CellEndpointsChanged) -> None:
+        """Assigns endpoints to a cell, and the cell to a pool. The pools' sums are to be counted anew."""
+        if event.endpoint_ids:
+            self._cells[event.cell] = event
+        else:
+            self._cells.pop(event.cell, None)
+        if event.pool not in self.by_name:
+            self.by_name[event.pool] = self._new_pool()
+        self._name_by_endpoint = {
+            endpoint_id: cell.pool for cell in self._cells.values() for endpoint_id in cell.endpoint_ids
+        }
+
+    def of_endpoint(self, endpoint_id: api.EndpointId) -> Pool:
+        """Returns the pool that an endpoint belongs to."""
+        if not self._name_by_endpoint:
+            return self.by_name[None]
+        return self.by_name[self._name_by_endpoint.get(endpoint_id)]
+
+    def of_cell(self, cell: int | None) -> Pool:
+        """Returns the pool that a cell's requests are judged with."""
+        assigned = self._cells.get(cell) if cell is not None else None
+        return self.by_name[assigned.pool if assigned else None]
+
+    def endpoints_of_cell(self, cell: int) -> frozenset[api.EndpointId]:
+        """Returns the endpoints of a cell; none where the cell is unknown."""
+        assigned = self._cells.get(cell)
+        return assigned.endpoint_ids if assigned else frozenset()
--- /dev/null
+++ b/lotusstream/policy/spare_capacity.py
@@ -0,0 +1,64 @@
+"""How much of each class of endpoints is left to requests that may run anywhere.
+
+Guards endpoints that some profile is restricted to against work that could go elsewhere: what an unrestricted
+request sees of an endpoint is what the restricted ones are expected to leave.
+"""
+
+from __future__ import annotations
+
+import math
+
+from lotusstream import interface as api
+from lotusstream.policy.catalog import Catalog
+from lotusstream.policy.context import DecisionContext
+from lotusstream.policy.pools import Pools
+from lotusstream.rendezvous import unit_hash
+
+MIN_SPARE_RATIO = 0.1  # of an endpoint's cores that unrestricted requests always see
+
+
+class SpareCapacity:
+    """`ratios`: by zone and kind, the part of the cores that restricted profiles leave, 0.1 to 1."""
+
+    def __init__(self, context: DecisionContext, catalog: Catalog, pools: Pools) -> None:
+        self._context = context
+        self._catalog = catalog
+        self._pools = pools
+        self.ratios: dict[tuple[int, int], float] = {}
+
+    def recompute(self) -> None:
+        """Computes the ratios from the work that was asked for lately and the ready cores."""
+        requested = self._requested_work()
+        work_per_core = sum(requested) / max(1.0, self._catalog.ready_cores)
+        cores = self._catalog.cores_by_class
+        self.ratios = dict.fromkeys(cores, 1.0)
+        for profile, work in zip(self._context.settings.profiles, requested, strict=True):
+            if not profile.is_restricted:
+                continue
+            admitted = [each for each in cores if _admits_class(profile, *each)]
+            if work_per_core and len(admitted) < len(cores):
+                admitted_cores = max(1.0, sum([cores[each] for each in admitted]))
+                taken = work / work_per_core / admitted_cores  # part of these cores
+                for each in admitted:
+                    self.ratios[each] = max(MIN_SPARE_RATIO, self.ratios[each] - taken)
+
+    def _requested_work(self) -> list[float]:
+        """Returns the work asked for lately by profile, in thread microseconds."""
+        now = self._context.now
+        return [
+            sum([pool.estimates[index].requested_work.total(now)[0] for pool in self._pools.by_name.values()])
+            for index in range(len(self._context.settings.profiles))
+        ]
+
+    def weighted_draw(self, seed: int, profile: api.Profile, entry: api.EndpointEntry) -> float:
+        """Returns an endpoint's draw by hash, weighted by its cores that are left to the profile.
+
+        The endpoint with the least draw wins (weighted rendezvous hashing).
+        """
+        spare = 1.0 if profile.is_restricted else self.ratios.get((entry.zone, entry.kind), 1.0)
+        return -math.log(unit_hash(entry.id, seed)) / (self._context.cores(entry.kind) * spare)
+
+
+def _admits_class(profile: api.Profile, zone: int, kind: int) -> bool:
+    in_zone = profile.zones is None or zone in profile.zones
+    return in_zone and (profile.kinds is None or kind in profile.kinds)
--- a/lotusstream/policy/state.py
+++ b/lotusstream/policy/state.py
@@ -1,131 +1,162 @@
-"""What a gateway keeps: records and sums over time. No decision is made here."""
+"""The state of requests, attempts, endpoints and pools that decisions read. No decision is made here.
+
+Times are microseconds of the caller's clock; work is in thread microseconds.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
-from typing import Any
 
 from lotusstream import interface as api
+from lotusstream.policy.context import WINDOW_BUCKET_COUNT
+from lotusstream.policy.estimates import ProfileEstimates
 from lotusstream.sliding_window import SlidingWindow
 
-BUCKETS = 16  # whole buckets of a sliding window
+ATTEMPT_NUMBER_BITS = 8  # of an attempt's key, below the request's id
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a command."""
+    """One attempt of a request at an endpoint."""
 
     endpoint: Endpoint
     started_at: int
-    alone: float  # what its work would take on an idle engine
-    expected: float
-    number: int
-    finish: float  # when it is thought to end
-    stalled: bool = False
-    told: bool = False  # a note of progress told the finish
-    outcome: api.Outcome | None = None
-    cancelled: bool = False  # cancelled by this gateway
+    ideal_latency: float  # microseconds that its work would take on an idle endpoint
+    expected_latency: float  # microseconds, as its endpoint behaves
+    number: int  # among the attempts of its request, from 0
+    expected_end: float  # time at which it is expected to end
+    stalled: bool = False  # it waits behind a load, so its latency says nothing of its endpoint
+    progress_reported: bool = False  # expected_end follows from a progress report
+    outcome: api.Outcome | None = None  # None while it runs
+    cancelled: bool = False  # by this gateway
 
     @property
     def zone(self) -> int:
+        """The zone of its endpoint."""
         return self.endpoint.entry.zone
 
     @property
     def cell(self) -> int:
+        """The deduplication cell of its endpoint."""
         return self.endpoint.entry.cell
 
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A request that this gateway has received, until its last attempt has ended."""
+
     id: int
-    kind: int  # place of its profile among all
+    profile_index: int
     profile: api.Profile
-    group: int
-    key: int | None
-    hint: int | None
-    work: float
-    weight: float  # the usual work of its profile, never thought too small
+    group: int  # table group
+    key: int | None  # requests with this key run one after the other; None: not ordered
+    work_hint: int | None
+    work: float  # expected
+    typical_work: float  # of its profile, estimated on the high side
     soft_deadline: int
     deadline: int
-    tie_break_seed: int  # drawn once: decides among equals
-    pool: Pool  # judged with it
-    cell: int | None = None
+    random_value: int  # 32 bits, drawn once: breaks ties and decides on partial admission
+    pool: Pool  # the endpoints that it is judged with
+    cell: int | None = None  # it may run in this cell only; None: anywhere
     attempts: list[Attempt] = field(default_factory=list)
-    overlong: int = 0  # sends given up as bad plans
-    earlier: list[api.ExecutedElsewhere] = field(default_factory=list)  # by other gateways
+    runaway_count: int = 0  # attempts that were cancelled since they took far too long
+    executions_elsewhere: list[api.ExecutedElsewhere] = field(default_factory=list)  # by other gateways
 
     @property
-    def out(self) -> list[Attempt]:
+    def running_attempts(self) -> list[Attempt]:
+        """The attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     @property
-    def erred(self) -> set[Endpoint]:
-        """The engines that answered it with an error."""
+    def endpoints_with_error(self) -> set[Endpoint]:
+        """The endpoints that answered it with an error."""
         return {attempt.endpoint for attempt in self.attempts if attempt.outcome is api.Outcome.ERROR}
 
     @property
-    def failed_at(self) -> set[Endpoint]:
-        """The engines that answered it with an error, or where it was given up."""
-        return {attempt.endpoint for attempt in self.attempts if attempt.cancelled} | self.erred
+    def endpoints_to_avoid(self) -> set[Endpoint]:
+        """The endpoints that answered it with an error, or where it was cancelled."""
+        cancelled = {attempt.endpoint for attempt in self.attempts if attempt.cancelled}
+        return cancelled | self.endpoints_with_error
 
     @property
-    def ran(self) -> list[Attempt | api.ExecutedElsewhere]:
-        """The sends that may have run."""
+    def possible_executions(self) -> list[Attempt | api.ExecutedElsewhere]:
+        """The attempts, here and at other gateways, that may have been executed."""
         return [
-            *self.earlier,
-            *[each for each in self.attempts if each.outcome not in api.PROVES_NOT_EXECUTED],
+            *self.executions_elsewhere,
+            *[attempt for attempt in self.attempts if attempt.outcome not in api.PROVES_NOT_EXECUTED],
         ]
 
 
+@dataclass(slots=True, eq=False)
+class RunningAttempt:
+    """An attempt without an outcome, with its request."""
+
+    request: Request
+    attempt: Attempt
+
+
+@dataclass(slots=True, eq=False)
+class GroupLoad:
+    """The latest load of a table group at an endpoint."""
+
+    request: Request | None  # None: another gateway's
+    expected_end: float
+
+
 class Pool:
-    """Engines that are judged together: all of them, or those of cells.
-
-    `active`: ready ones with sends out or under pressure. Only these are looked at now and then; of all
-    others nothing is known that is not known of the pool, so they count by their cores."""
-
-    def __init__(self, latency_ratios: SlidingWindow, estimates: list[Any], limit_factor: float) -> None:
-        self.estimates = estimates  # what each profile's commands take there
-        self.latency_ratios, self.out = latency_ratios, 0  # threads of this gateway there
-        self.cores = 0.0  # of those that are ready
-        self.limit_factor, self.adjusted_at = limit_factor, 0  # of engines of which nothing is known
-        self.overloaded, self.baseline_ratio, self.best, self.free_capacity, self.others = (
-            False,
-            1.0,
-            math.inf,
-            0.0,
-            0.0,
-        )
-        self.all_overloaded, self.limit_per_core = False, 0.0  # engines of which nothing is known
+    """Endpoints that are judged together: all of them, or those of some cells.
+
+    `active` holds the ready ones with attempts, and the overloaded ones. Only these are evaluated
+    periodically; of the others nothing is known that is not known of the pool, so they count by their cores.
+    """
+
+    def __init__(self, latency_span: int, estimates: list[ProfileEstimates], limit_factor: float) -> None:
+        """`latency_span`: microseconds that latencies count. `limit_factor`: the initial one."""
+        self.estimates = estimates  # by profile
+        self.latency_ratios = SlidingWindow(latency_span, WINDOW_BUCKET_COUNT)  # logarithms
+        self.threads = 0  # of this gateway's attempts there
+        self.cores = 0.0  # of its ready endpoints
+        self.limit_factor = limit_factor  # threads a core at endpoints of which nothing is known
+        self.limit_adjusted_at = 0
+        self.overloaded = False  # enough of its cores are, so the limits of all endpoints bind
+        self.baseline_ratio = 1.0  # recent latency ratio of all its endpoints, at least 1
+        self.best_ratio = math.inf  # least baseline ratio, which rises slowly
+        self.free_capacity = 0.0  # threads that this gateway may add
+        self.peer_threads_per_core = 0.0  # threads of other gateways, as estimated
+        self.latency_overloaded = False  # its baseline is, and with it endpoints of which nothing is known
+        self.limit_per_core = 0.0  # threads of this gateway a core, at such endpoints
         self.active: dict[Endpoint, ActiveSums] = {}
-        self.changed: dict[Endpoint, None] = {}  # since they were last gauged
-        self.sums = ActiveSums(0.0, 0.0, 0.0)
+        self.changed: dict[Endpoint, None] = {}  # since their limits were last computed
+        self.sums = ActiveSums(0.0, 0.0, 0.0)  # of the active ones
 
     @property
-    def floor(self) -> float:
-        """The best latency ratio that is believed."""
-        return max(1.0, min(self.best, self.baseline_ratio))
+    def reference_ratio(self) -> float:
+        """The best latency ratio that can be relied on, at least 1."""
+        return max(1.0, min(self.best_ratio, self.baseline_ratio))
 
     def count(self, endpoint: Endpoint) -> None:
-        """Takes in what was last found of an engine."""
-        found = ActiveSums(
+        """Adds an endpoint to the active ones, or takes in how it has changed."""
+        sums = ActiveSums(
             endpoint.cores, endpoint.cores if endpoint.overloaded else 0.0, endpoint.concurrency_limit
         )
-        self.sums = self.sums + found - self.active.get(endpoint, NOTHING)
-        self.active[endpoint] = found
+        self.sums = self.sums + sums - self.active.get(endpoint, NO_SUMS)
+        self.active[endpoint] = sums
 
     def discount(self, endpoint: Endpoint) -> None:
-        if (before := self.active.pop(endpoint, None)) is not None:
-            self.sums = self.sums - before if self.active else NOTHING
+        """Removes an endpoint from the active ones, if it is one."""
+        sums = self.active.pop(endpoint, None)
+        if sums is not None:
+            self.sums = self.sums - sums if self.active else NO_SUMS
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveSums:
-    """Of one active engine or of all of them."""
+    """What one active endpoint, or all of a pool, contribute to the pool's overload and limits."""
 
     cores: float
     overloaded_cores: float
-    concurrency_limits: float
+    concurrency_limits: float  # threads
 
     def __add__(self, other: ActiveSums) -> ActiveSums:
         return ActiveSums(
@@ -142,98 +173,129 @@
         )
 
 
-NOTHING = ActiveSums(0.0, 0.0, 0.0)
+NO_SUMS = ActiveSums(0.0, 0.0, 0.0)
+
+
+def attempt_key(request_id: int, number: int) -> int:
+    """Returns the key of an attempt among those that run at an endpoint."""
+    return request_id << ATTEMPT_NUMBER_BITS | number
 
 
 class Endpoint:
-    """An engine as this gateway sees it. Made when it is looked at, kept from the first send on."""
+    """An endpoint as this gateway sees it: made when a placement considers it, retained from the first
+    attempt on."""
 
     __slots__ = (
-        "_span",
-        "adjusted_at",
+        "_latency_span",
         "concurrency_limit",
+        "consecutive_failures",
         "cores",
         "ejected_at",
         "ejected_until",
         "entry",
-        "failures",
-        "full_at",
-        "gauged_at",
-        "heard",
+        "last_attempt_at",
+        "last_response_at",
         "latency_ratio",
         "latency_ratios",
+        "limit_adjusted_at",
+        "limit_computed_at",
         "limit_factor",
         "loads",
-        "lost",
-        "out",
         "overdue_ratio",
         "overloaded",
-        "phase",
         "pool",
+        "rejected_at",
         "retry_credit",
-        "slow_start_at",
+        "running",
+        "slow_start_phase",
+        "slow_start_since",
         "slow_start_work",
         "stalled_ratio",
         "threads",
-        "used_at",
-        "warm",
+        "unresponsive",
+        "warm_groups",
     )
 
     def __init__(
-        self, entry: api.EndpointEntry, pool: Pool, cores: float, pace_span: int, retry_credit: float
+        self, entry: api.EndpointEntry, pool: Pool, cores: float, latency_span: int, retry_credit: float
     ) -> None:
-        self.pool, self._span = pool, pace_span
-        self.entry, self.cores = entry, cores
-        self.threads, self.out = 0, dict[int, tuple[Request, Attempt]]()  # by command and send
-        self.loads: dict[int, tuple[Request | None, float]] = {}  # latest load of a group; when it ends
-        self.warm: dict[int, int] = {}  # groups last run here, oldest first
-        self.latency_ratios: SlidingWindow | None = None  # recent latency over what the work would take alone
-        self.latency_ratio, self.overloaded = pool.baseline_ratio, pool.all_overloaded
-        self.overdue_ratio = self.stalled_ratio = (
-            pool.baseline_ratio
-        )  # the pace that sends still out already show; with those that
-        # stand behind loads: they hold memory
-        self.limit_factor, self.retry_credit = pool.limit_factor, retry_credit
-        self.concurrency_limit = cores * pool.limit_per_core  # threads
-        self.gauged_at = self.adjusted_at = self.used_at = -1
-        self.full_at: int | None = None
-        self.heard, self.failures, self.ejected_at = 0, 0, 0
-        self.ejected_until: int | None = None
-        self.lost = False  # some of the failures were no word of its own
-        self.begin_slow_start(None, 0.0)
-
-    def begin_slow_start(self, since: int | None, phase: float) -> None:
-        self.slow_start_at, self.phase = since, phase
-        self.slow_start_work: SlidingWindow | None = None  # work sent while cold
-
-    def learn_latency_ratio(self, now: int, latency_ratio: float, buckets: int) -> None:
-        self.latency_ratios = self.latency_ratios or SlidingWindow(self._span, buckets)
-        self.latency_ratios.add(now, latency_ratio)
+        """`latency_span`: microseconds that latencies count. `retry_credit`: the initial one."""
+        self.entry = entry
+        self.pool = pool
+        self.cores = cores
+        self.threads = 0  # of this gateway's attempts there
+        self.running: dict[int, RunningAttempt] = {}  # by attempt_key
+        self.loads: dict[int, GroupLoad] = {}  # by table group
+        self.warm_groups: dict[int, int] = {}  # table group: when it last ran here; the oldest first
+        self.retry_credit = retry_credit  # retries that may go there
+        self.last_attempt_at = -1
+        self.last_response_at = 0  # or the start of the first attempt since it was idle
+        self._latency_span = latency_span
+        self.latency_ratios: SlidingWindow | None = None  # logarithms; None until the first answer
+        self.latency_ratio = pool.baseline_ratio  # recent latency over what the work would take alone
+        self.overdue_ratio = pool.baseline_ratio  # that running attempts already show, stalled ones left out
+        self.stalled_ratio = pool.baseline_ratio  # with those that wait behind loads: they hold memory
+        self.overloaded = pool.latency_overloaded
+        self.limit_factor = pool.limit_factor  # threads a core
+        self.concurrency_limit = cores * pool.limit_per_core  # threads of this gateway
+        self.limit_computed_at = -1  # -1: never
+        self.limit_adjusted_at = -1
+        self.rejected_at: int | None = None  # when it last rejected an attempt as full
+        self.consecutive_failures = 0
+        self.unresponsive = False  # some of these failures were no answer of the endpoint itself
+        self.ejected_at = 0
+        self.ejected_until: int | None = None  # None: not ejected
+        self.slow_start_since: int | None = None  # None: not in slow start
+        self.slow_start_phase = 0.0  # offset of its windows, 0 to 1
+        self.slow_start_work: SlidingWindow | None = None  # work sent there since; made when first needed
+
+    def begin_slow_start(self, since: int, phase: float) -> None:
+        """Begins slow start. `phase`: offset of its windows, 0 to 1."""
+        self.slow_start_since = since
+        self.slow_start_phase = phase
+        self.slow_start_work = None
+
+    def learn_latency_ratio(self, now: int, log_ratio: float) -> None:
+        """Takes in the logarithm of an attempt's latency ratio."""
+        if self.latency_ratios is None:
+            self.latency_ratios = SlidingWindow(self._latency_span, WINDOW_BUCKET_COUNT)
+        self.latency_ratios.add(now, log_ratio)
         self.pool.changed[self] = None
 
-    def begins(self, request: Request, attempt: Attempt, keep: int) -> int | None:
-        """A send goes out. `keep`: how many groups stay warm there. Returns the group that no longer does."""
-        threads, cooled = request.profile.threads, None
+    def add_attempt(self, request: Request, attempt: Attempt) -> None:
+        """An attempt starts."""
         request.attempts.append(attempt)
-        self.heard = self.heard if self.out else attempt.started_at
-        self.out[request.id << 8 | attempt.number] = (request, attempt)
-        self.threads += threads
-        self.pool.free_capacity, self.pool.out = self.pool.free_capacity - threads, self.pool.out + threads
+        if not self.running:
+            self.last_response_at = attempt.started_at
+        self.running[attempt_key(request.id, attempt.number)] = RunningAttempt(request, attempt)
+        self.threads += request.profile.threads
+        self.pool.free_capacity -= request.profile.threads
+        self.pool.threads += request.profile.threads
         self.pool.changed[self] = None
-        self.used_at = attempt.started_at
-        self.warm.pop(request.group, None)
-        self.warm[request.group] = attempt.started_at
-        if len(self.warm) > keep:
-            cooled = next(iter(self.warm))
-            del self.warm[cooled]
+        self.last_attempt_at = attempt.started_at
         if self.slow_start_work is not None:
-            self.slow_start_work.add(attempt.started_at, request.weight)
-        return cooled
-
-    def ends(self, send: int) -> tuple[Request, Attempt] | None:
-        """A send has its outcome, if it is known here."""
-        if (held := self.out.pop(send, None)) is not None:
-            self.threads -= held[0].profile.threads
-            self.pool.out -= held[0].profile.threads
+            self.slow_start_work.add(attempt.started_at, request.typical_work)
+
+    def remove_attempt(self, request_id: int, number: int) -> RunningAttempt | None:
+        """An attempt has its outcome; returns it, or None if it is not running here."""
+        running = self.running.pop(attempt_key(request_id, number), None)
+        if running is not None:
+            self.threads -= running.request.profile.threads
+            self.pool.threads -= running.request.profile.threads
             self.pool.changed[self] = None
-        return held
+        return running
+
+    def warm_group(self, group: int, now: int, max_groups: int) -> int | None:
+        """The group runs here now. Returns the group that is cached no more, if one is evicted."""
+        self.warm_groups.pop(group, None)
+        self.warm_groups[group] = now
+        if len(self.warm_groups) <= max_groups:
+            return None
+        evicted = next(iter(self.warm_groups))
+        del self.warm_groups[evicted]
+        return evicted
+
+    def runs_load(self, request: Request) -> bool:
+        """Returns whether the request is the latest load of its group here."""
+        load = self.loads.get(request.group)
+        return request.profile.is_load and load is not None and load.request is request
--- /dev/null
+++ b/lotusstream/policy/traffic_share.py
@@ -0,0 +1,59 @@
+"""Which part of the traffic comes to this gateway, learnt by asking endpoints what all gateways run there."""
+
+from __future__ import annotations
+
+from lotusstream import interface as api
+from lotusstream.policy.catalog import Catalog
+from lotusstream.policy.context import WINDOW_BUCKET_COUNT, DecisionContext
+from lotusstream.policy.domains import Domains
+from lotusstream.policy.endpoint_states import EndpointStates
+from lotusstream.sliding_window import SlidingWindow
+
+HEALTH_CHECK_REQUESTS = 10  # requests between two health checks
+WINDOW_OBJECTIVES = 4  # shortest objectives for which a health check counts
+EVEN_SHARE_WEIGHT = 10  # attempts in flight that an even share counts as
+MIN_EVEN_SHARE_RATIO = 2  # the share is taken for at least an even one divided by this
+
+
+class TrafficShare:
+    """Estimates `DecisionContext.share`, 0 to 1."""
+
+    def __init__(
+        self, context: DecisionContext, catalog: Catalog, domains: Domains, states: EndpointStates
+    ) -> None:
+        self._context = context
+        self._catalog = catalog
+        self._domains = domains
+        self._states = states
+        # amounts: attempts of this gateway at an endpoint; counts: attempts of all gateways there
+        self._in_flight = SlidingWindow(WINDOW_OBJECTIVES * context.shortest_objective, WINDOW_BUCKET_COUNT)
+        self._requests_since_check = 0
+        self._next_endpoint = int(context.random.next_ratio() * HEALTH_CHECK_REQUESTS)
+        self._load_is_reported = context.capabilities.health_checks and context.settings.reports_in_flight
+
+    def on_request_received(self) -> None:
+        """Starts a health check at every tenth request, at one endpoint after the other."""
+        self._requests_since_check += 1
+        if self._requests_since_check < HEALTH_CHECK_REQUESTS or not self._load_is_reported:
+            return
+        endpoints = self._domains.all_endpoints()
+        if len(endpoints):
+            self._requests_since_check = 0
+            self._next_endpoint += 1
+            checked = endpoints.at(self._next_endpoint % len(endpoints))
+            self._context.actions.append(api.StartHealthCheck(checked))
+
+    def on_health_check_ended(self, event: api.HealthCheckEnded) -> None:
+        """Takes in the attempts that an endpoint runs for all gateways."""
+        if event.endpoint_id not in self._catalog.entries:
+            return
+        if event.report is None or event.report.in_flight is None:
+            return
+        now = self._context.now
+        running = sum(len(endpoint.running) for endpoint in self._states.retained.values())
+        own = running / max(1, self._catalog.ready)
+        self._in_flight.add(now, own, max(event.report.in_flight, own))
+        own_total, all_total = self._in_flight.total(now)
+        even = self._context.even_share
+        estimate = (own_total + EVEN_SHARE_WEIGHT * even) / (all_total + EVEN_SHARE_WEIGHT)
+        self._context.share = max(even / MIN_EVEN_SHARE_RATIO, estimate)
--- a/lotusstream/sliding_window.py
+++ b/lotusstream/sliding_window.py
@@ -1,4 +1,4 @@
-"""Sums over time, in fixed buckets that are used again."""
+"""Sums over the recent past, in a fixed amount of memory."""
 
 from __future__ import annotations
 
@@ -7,36 +7,47 @@
     """Sums over the last `span` microseconds, in fixed buckets of time that are used again in a ring."""
 
     def __init__(self, span: int, buckets: int) -> None:
-        self.buckets, self.width = buckets, max(1, span // buckets)
-        self.slots = [[-1, 0.0, 0.0] for _ in range(buckets + 1)]
-        self.newest = -buckets
+        """`span`: microseconds. `buckets`: whole ones in the span; one more is filled at any time."""
+        self._bucket_count = buckets
+        self._bucket_width = max(1, span // buckets)  # microseconds
+        # of each bucket: its number since the start of the clock, the sum of amounts, the sum of counts
+        self._buckets = [[-1, 0.0, 0.0] for _ in range(buckets + 1)]
+        self._newest = -buckets  # number of the bucket that was filled last
 
     def add(self, now: int, amount: float, count: float = 1.0) -> None:
-        at = self.newest = now // self.width
-        slot = self.slots[at % len(self.slots)]
-        if slot[0] != at:
-            slot[:] = [at, 0.0, 0.0]
-        slot[1] += amount
-        slot[2] += count
+        """Adds an amount at the time `now`, in microseconds, which does not go backwards."""
+        number = now // self._bucket_width
+        self._newest = number
+        bucket = self._buckets[number % len(self._buckets)]
+        if bucket[0] != number:
+            bucket[:] = [number, 0.0, 0.0]
+        bucket[1] += amount
+        bucket[2] += count
 
     def total(self, now: int, *, covering: bool = True) -> tuple[float, float]:
-        """Amount and count; `covering` takes in at least the span, otherwise at most."""
-        oldest = now // self.width - self.buckets + (0 if covering else 1)
-        kept = [slot for slot in self.slots if slot[0] >= oldest]
-        return sum([slot[1] for slot in kept]), sum([slot[2] for slot in kept])
+        """Returns the sums of amounts and counts.
+
+        `covering`: over at least the span, otherwise over at most the span.
+        """
+        oldest = now // self._bucket_width - self._bucket_count + (0 if covering else 1)
+        recent = [bucket for bucket in self._buckets if bucket[0] >= oldest]
+        return sum([bucket[1] for bucket in recent]), sum([bucket[2] for bucket in recent])
 
     def mean(self, now: int, prior: float, weight: float) -> float:
-        """The prior weighs as much as `weight` counts."""
+        """Returns the mean amount of a count, where the prior weighs as much as `weight` counts."""
         amount, count = self.total(now)
         return (amount + prior * weight) / (count + weight)
 
     def latest(self, now: int, prior: float, weight: float, enough: float) -> float:
-        """As the mean, over the newest buckets only where these hold enough."""
-        at, amount, count = now // self.width, prior * weight, weight
-        for back in range(at - self.newest, self.buckets):
-            slot = self.slots[(at - back) % len(self.slots)]
-            if slot[0] == at - back:
-                amount, count = amount + slot[1], count + slot[2]
+        """Returns the mean over the newest buckets that together hold `enough` counts, or over the span."""
+        current = now // self._bucket_width
+        amount = prior * weight
+        count = weight
+        for age in range(current - self._newest, self._bucket_count):
+            bucket = self._buckets[(current - age) % len(self._buckets)]
+            if bucket[0] == current - age:
+                amount += bucket[1]
+                count += bucket[2]
                 if count >= enough:
                     break
         return amount / count
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -98,8 +98,8 @@
     host.engines(engine(2))
     true_now = host.now - clock_off
     host.engines(engine(1, started_at=true_now - S), kind=api.EndpointListKind.DELTA)
-    endpoint = host.gateway._endpoint(engine(1).id)
-    assert host.gateway._in_slow_start(endpoint)
+    endpoint = host.gateway.endpoint_states.get(engine(1).id)
+    assert host.gateway.slow_start.is_active(endpoint)
     host.pass_time(16 * S)
     host.tell()
-    assert not host.gateway._in_slow_start(host.gateway._endpoint(engine(1).id))
+    assert not host.gateway.slow_start.is_active(host.gateway.endpoint_states.get(engine(1).id))
--- a/tests/fleet/test_lots.py
+++ b/tests/fleet/test_lots.py
@@ -66,7 +66,7 @@
             command = host.take(profile=profile, group=second % 9, timeout=6 * S)
             host.end(command, Outcome.ANSWERED, after=100 * MS)
     host.engines(kind=api.EndpointListKind.DELTA)
-    assert host.gateway.spare[0, 1] > 0.6  # a sixth of the work on half of the engines
+    assert host.gateway.spare_capacity.ratios[0, 1] > 0.6  # a sixth of the work on half of the engines
 
 
 def test_groups_of_many_gateways_fill_the_engines_evenly() -> None:
--- a/tests/policy/test_whatever_comes.py
+++ b/tests/policy/test_whatever_comes.py
@@ -123,11 +123,11 @@
     catalog = Catalog(7, 1.0, lambda _kind: 8.0)
     domain = catalog.domain((None, None, None), lambda _entry: True)
     first, gone = engine(1), engine(1, status=api.EndpointStatus.REMOVED)
-    catalog.apply([first, gone, first], whole=True)
+    catalog.apply([first, gone, first], complete=True)
     assert catalog.ready == len(domain) == 1
-    catalog.apply([first, gone], whole=False)
+    catalog.apply([first, gone], complete=False)
     assert catalog.ready == len(domain) == 0 and not catalog.entries
-    catalog.apply([gone, first], whole=False)
+    catalog.apply([gone, first], complete=False)
     assert catalog.ready == len(domain) == 1
 
 
@@ -137,16 +137,16 @@
     bound = replace(LOOKUP, kinds=frozenset({1}))
     followed = Catalog(7, 0.1, lambda kind: 4.0 + kind)
     domain = followed.domain((None, bound.kinds, None), bound.admits)
-    followed.apply(entries, whole=True)
+    followed.apply(entries, complete=True)
     for _ in range(200):
         at = draw.randrange(len(entries))
         state = draw.choice(
             [api.EndpointStatus.READY, api.EndpointStatus.DRAINING, api.EndpointStatus.REMOVED]
         )
         entries[at] = replace(entries[at], status=state, zone=draw.randrange(3))
-        followed.apply([entries[at]], whole=False)
+        followed.apply([entries[at]], complete=False)
     anew = Catalog(7, 0.1, lambda kind: 4.0 + kind)
-    anew.apply(entries, whole=True)
+    anew.apply(entries, complete=True)
     fresh = anew.domain((None, bound.kinds, None), bound.admits)
     assert domain.first(400) == fresh.first(400) and domain.preferred == fresh.preferred
     assert followed.cores_by_class == anew.cores_by_class and followed.ready_cores == anew.ready_cores
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -89,7 +89,7 @@
             host.end(command, Outcome.ERROR)
             host.end(command, Outcome.ERROR)
         host.end(host.take(), Outcome.ANSWERED)
-    assert all(endpoint.ejected_until is None for endpoint in host.gateway.endpoints.values())
+    assert all(endpoint.ejected_until is None for endpoint in host.gateway.endpoint_states.retained.values())
 
 
 def test_an_engine_that_errs_is_set_aside_but_goes_on_with_what_it_runs_and_is_not_cold() -> None:
@@ -103,8 +103,8 @@
     host.pass_time(100 * MS)
     assert not [action for action in host.log if isinstance(action, api.CancelAttempt)]
     host.end(running, Outcome.ANSWERED, 0)
-    endpoint = host.gateway.endpoints[engine(1).id]
-    assert host.sends(held) and not host.gateway._in_slow_start(endpoint)
+    endpoint = host.gateway.endpoint_states.retained[engine(1).id]
+    assert host.sends(held) and not host.gateway.slow_start.is_active(endpoint)
 
 
 def test_connections_reset_by_an_engine_that_answers_are_no_end_of_it() -> None:
@@ -116,14 +116,14 @@
     host.pass_time(100 * MS)
     assert api.CancelAttempt(running, 0) not in host.log
     host.end(running, Outcome.ANSWERED, 0)
-    assert not host.gateway._in_slow_start(host.gateway.endpoints[engine(1).id])
+    assert not host.gateway.slow_start.is_active(host.gateway.endpoint_states.retained[engine(1).id])
 
 
 def test_the_trial_of_an_engine_set_aside_has_its_time_and_no_more(host: Host) -> None:
     for name in (1, 2, 3):
-        endpoint = host.gateway._endpoint(engine(name).id)
-        host.gateway._retain(endpoint)
-        host.gateway._eject(endpoint)
+        endpoint = host.gateway.endpoint_states.get(engine(name).id)
+        host.gateway.endpoint_states.retain(endpoint)
+        host.gateway.outlier_ejection.eject(endpoint)
     host.pass_time(5 * S)
     trial = host.take(hint=1 * S)
     assert len(host.sends(trial)) == 1
@@ -556,7 +556,7 @@
     command = host.take()
     silent = host.sends(command)[0].endpoint_id
     host.pass_time(5 * S)
-    assert host.gateway.endpoints[silent].ejected_until is not None
+    assert host.gateway.endpoint_states.retained[silent].ejected_until is not None
     assert api.CancelAttempt(command, 0) in host.log
 
 
