--- a/lotusstream/cli/__init__.py
+++ b/lotusstream/cli/__init__.py
@@ -61,7 +61,11 @@
 
     deployment = configuration.deployment
     profiles = dict(zip(deployment.profiles, deployment.started.profiles, strict=True))
-    listed = {each.engine.id: each.engine for notice in configuration.known.notices for each in notice.listed}
+    listed = {
+        each.entry.id: each.entry
+        for notice in configuration.initial_events.updates
+        for each in notice.endpoints
+    }
     engines, name = tuple(listed.values()), configuration.name
     around = DeploymentContext(profiles, deployment.zones, deployment.kinds, engines, name)
     return load_operator_file(path, around)
@@ -86,7 +90,7 @@
         except ConfigurationError as error:  # what was in force stays
             self._refused(str(error))
             loop = asyncio.get_running_loop()
-            self._look_again(loop, before, loop.time() + http.TOLD_AFTER / US)
+            self._look_again(loop, before, loop.time() + http.DISCOVERY_PROPAGATION_US / US)
 
     def stop(self) -> None:
         if self._again is not None:
@@ -116,7 +120,7 @@
 
     def refuse(why: str) -> None:
         server.supervisor.counters.add("reloads refused")
-        server.supervisor.log.say("reload", why)
+        server.supervisor.log.write("reload", why)
 
     def reload() -> None:
         reloading.now()
@@ -153,9 +157,11 @@
             return status
     configuration = load(arguments.config)
     deployment = configuration.deployment
-    engines = {listed.engine.id for notice in configuration.known.notices for listed in notice.listed}
+    engines = {
+        listed.entry.id for notice in configuration.initial_events.updates for listed in notice.endpoints
+    }
     print(f"gateway {configuration.name}, listens on {':'.join(map(str, configuration.listen))}")
-    print(f"board at {':'.join(map(str, configuration.board))}, {len(engines)} engines known")
+    print(f"board at {':'.join(map(str, configuration.discovery_address))}, {len(engines)} engines known")
     for name, profile in zip(deployment.profiles, deployment.started.profiles, strict=True):
         times = (
             f"target {profile.latency_objective / 1e6:g} s, client timeout {profile.client_timeout / 1e6:g} s"
@@ -196,9 +202,9 @@
     address = load(arguments.config).listen
     try:
         with socket.create_connection(address, PROBE_PATIENCE) as sock, sock.makefile("rb") as answers:
-            sock.sendall(front.encode_probe(1))
+            sock.sendall(front.encode_health_probe(1))
             (length,) = front.FRAME.unpack(answers.read(front.FRAME.size))
-            good = front.decode_probe_answer(answers.read(length))
+            good = front.decode_health_probe_reply(answers.read(length))
     except (OSError, struct.error, front.FrameError) as error:
         print(f"no answer: {error}")
         return 1
--- a/lotusstream/counters.py
+++ b/lotusstream/counters.py
@@ -11,12 +11,12 @@
     def __init__(self) -> None:
         self._buckets = Counter[int]()
         self.count = 0
-        self.most = 0.0
+        self.maximum = 0.0
 
     def add(self, value: float) -> None:
         self._buckets[max(0, int(value)).bit_length()] += 1
         self.count += 1
-        self.most = max(self.most, value)
+        self.maximum = max(self.maximum, value)
 
     def quantile(self, part: float) -> float:
         """A value that at least that part of all values does not pass; 0 where there is none."""
@@ -24,8 +24,8 @@
         for bucket, count in sorted(self._buckets.items()):
             left -= count
             if left <= 0:
-                return min(self.most, float((1 << bucket) - 1))
-        return self.most
+                return min(self.maximum, float((1 << bucket) - 1))
+        return self.maximum
 
 
 class Counters:
@@ -51,7 +51,7 @@
         counts = [f"{name} {count}" for name, count in sorted(self._counts.items())]
         return counts + [f"{name} {value:g} at most" for name, value in sorted(self._all_peaks().items())]
 
-    def told(self) -> dict[str, dict[str, float]]:
+    def as_mapping(self) -> dict[str, dict[str, float]]:
         return {
             "counts": dict(sorted(self._counts.items())),
             "peaks": dict(sorted(self._all_peaks().items())),
@@ -61,7 +61,7 @@
         """A histogram is told as its greatest value, and as what a half and 99 of 100 values do not pass."""
         told = dict(self._peaks)
         for name, histogram in self._histograms.items():
-            told[name] = histogram.most
+            told[name] = histogram.maximum
             told[f"{name}, half of all"] = histogram.quantile(0.5)
             told[f"{name}, 99 of 100"] = histogram.quantile(0.99)
         return told
--- a/lotusstream/deployment.py
+++ b/lotusstream/deployment.py
@@ -8,7 +8,7 @@
 
 from lotusstream import interface as api
 
-EFFECTS = {
+IDEMPOTENCY_BY_EFFECT = {
     "repeatable": api.Idempotency.IDEMPOTENT,
     "by_key": api.Idempotency.IDEMPOTENT_WITH_KEY,
     "once": api.Idempotency.NOT_IDEMPOTENT,
@@ -30,7 +30,7 @@
     kinds: tuple[str, ...]
     connect_timeout: int
     idle_timeout: int
-    most_open: int
+    max_open_requests: int
 
 
 def _profile(raw: dict[str, Any], index: int, specifics: dict[str, Any]) -> api.Profile:
@@ -47,7 +47,7 @@
         client_timeout=raw["deadline"],
         priority_weight=raw.get("gain", 1.0),
         late_priority_weight=raw.get("late_value", 0.0),
-        idempotency=EFFECTS[raw["effect"]],
+        idempotency=IDEMPOTENCY_BY_EFFECT[raw["effect"]],
         deduplication_scope=api.DeduplicationScope(raw.get("group", "all")),
         deduplication_window=raw.get("window", 0),
         ordered_by_key=bool(raw.get("fifo_by_key")),
@@ -116,7 +116,7 @@
             kinds=tuple(raw.get("flavors", ())),
             connect_timeout=limits.get("connect_timeout", 0),
             idle_timeout=limits.get("conn_idle", 0),
-            most_open=limits.get("max_open", 0),
+            max_open_requests=limits.get("max_open", 0),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise SettingsError(f"settings cannot be read: {error!r}") from error
--- a/lotusstream/invariants.py
+++ b/lotusstream/invariants.py
@@ -10,10 +10,10 @@
     def __init__(self, counters: Counters, log: Log) -> None:
         self._counters, self._log = counters, log
 
-    def hold(self, what: str, true: bool) -> bool:
+    def check(self, what: str, true: bool) -> bool:
         """Returns `true`, so that a release run can go round what does not hold."""
         if not true:
             self._counters.add(f"broken invariant: {what}")
-            self._log.say("broken invariant", what)
+            self._log.write("broken invariant", what)
         assert true, what
         return true
--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -38,15 +38,15 @@
 
 def late_drain() -> None:
     """What the list says of withdrawn servers is applied late."""
-    take_list = decider.Decider._list
+    take_list = decider.Decider._on_endpoint_list_update
 
     def late(self: decider.Decider, notice: Any) -> None:
-        if self.listed:
+        if self.has_endpoint_list:
             asyncio.get_running_loop().call_later(DRAIN_DELAY, take_list, self, notice)
         else:
             take_list(self, notice)
 
-    decider.Decider._list = late  # type: ignore[method-assign]
+    decider.Decider._on_endpoint_list_update = late  # type: ignore[method-assign]
 
 
 def dropped_answer() -> None:
@@ -69,18 +69,18 @@
     def waits(self: client.ReceivedRequest) -> bool:
         return True
 
-    client.ReceivedRequest.owed = waits  # type: ignore[method-assign]
-    client.ClientConnection._leave = lambda self, command: None  # type: ignore[method-assign]
+    client.ReceivedRequest.is_awaited = waits  # type: ignore[method-assign]
+    client.ClientConnection._abandon = lambda self, command: None  # type: ignore[method-assign]
 
 
 def long_deadline() -> None:
     """Servers are told half a second more than the client has left."""
-    headers = http.start_headers
+    headers = http.attempt_headers
 
     def longer(call: str, profile: str, limit: int, mark: str | None, priority: int | None) -> dict[str, str]:
         return headers(call, profile, limit + 500_000, mark, priority)
 
-    http.start_headers = longer
+    http.attempt_headers = longer
 
 
 def unsafe_retry() -> None:
@@ -94,15 +94,15 @@
 
 def whole_list_without_drains() -> None:
     """What a whole list withdraws is passed over."""
-    differing = endpoint_registry.EndpointRegistry.differing
+    changed_entries = endpoint_registry.EndpointRegistry.changed_entries
 
     def only_ready(self: endpoint_registry.EndpointRegistry, notice: Any) -> list[Any]:
-        found = differing(self, notice)
-        if not notice.whole:
+        found = changed_entries(self, notice)
+        if not notice.is_snapshot:
             return found
-        return [each for each in found if each.engine.status is api.EndpointStatus.READY]
+        return [each for each in found if each.entry.status is api.EndpointStatus.READY]
 
-    endpoint_registry.EndpointRegistry.differing = only_ready  # type: ignore[method-assign]
+    endpoint_registry.EndpointRegistry.changed_entries = only_ready  # type: ignore[method-assign]
 
 
 def early_exit() -> None:
--- a/lotusstream/log.py
+++ b/lotusstream/log.py
@@ -6,36 +6,42 @@
 import time
 from collections.abc import Callable, Mapping
 
-SPAN, MOST = 10.0, 5  # seconds, and lines of one kind in them
+LIMIT_WINDOW_S = 10.0
+MAX_LINES_PER_WINDOW = 5  # lines of one kind
 
-Writer = Callable[[str, str, str, Mapping[str, object]], None]  # severity, kind, text, fields
+LogWriter = Callable[[str, str, str, Mapping[str, object]], None]  # severity, kind, text, fields
 
 
-def plain(_severity: str, kind: str, text: str, _fields: Mapping[str, object]) -> None:
+def write_plain(_severity: str, kind: str, text: str, _fields: Mapping[str, object]) -> None:
     print(f"{kind}: {text}", file=sys.stderr, flush=True)
 
 
 class Log:
     def __init__(self) -> None:
         self._kinds: dict[str, tuple[float, int]] = {}
-        self._write: Writer = plain
+        self._write: LogWriter = write_plain
 
-    def use(self, writer: Writer) -> None:
+    def use(self, writer: LogWriter) -> None:
         self._write = writer
 
     @property
     def structured(self) -> bool:
-        return self._write is not plain
+        return self._write is not write_plain
 
-    def say(self, kind: str, text: str, severity: str = "warning", **fields: object) -> None:
+    def write(self, kind: str, text: str, severity: str = "warning", **fields: object) -> None:
         """`kind` is one of a fixed set of names: lines are limited by it. `fields` are written where lines
         are structured; the text says it all where they are not."""
         now = time.monotonic()
         since, count = self._kinds.get(kind, (now, 0))
-        if now - since >= SPAN:
-            if count > MOST:
-                self._write(severity, kind, f"{count - MOST} more lines left out", {"left_out": count - MOST})
+        if now - since >= LIMIT_WINDOW_S:
+            if count > MAX_LINES_PER_WINDOW:
+                self._write(
+                    severity,
+                    kind,
+                    f"{count - MAX_LINES_PER_WINDOW} more lines left out",
+                    {"left_out": count - MAX_LINES_PER_WINDOW},
+                )
             since, count = now, 0
         self._kinds[kind] = (since, count + 1)
-        if count < MOST:
+        if count < MAX_LINES_PER_WINDOW:
             self._write(severity, kind, text, fields)
--- a/lotusstream/net/actor.py
+++ b/lotusstream/net/actor.py
@@ -13,7 +13,7 @@
 from lotusstream.log import Log
 
 Message = TypeVar("Message")
-RESTART_PAUSE = 0.1  # seconds, so that what fails at once does not take the core
+RESTART_BACKOFF_S = 0.1  # seconds, so that what fails at once does not take the core
 
 
 class Mailbox(Generic[Message]):
@@ -35,7 +35,7 @@
         """Whoever waits is to look, though no message may have come."""
         self._filled.set()
 
-    def rest(self) -> None:
+    def clear_wake(self) -> None:
         self._filled.clear()
 
     def take(self) -> Message | None:
@@ -59,7 +59,7 @@
         task.add_done_callback(self._ended)
         return task
 
-    def keep(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    def start_restarting(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """As `start`, and begun anew whenever it fails."""
 
         async def again() -> None:
@@ -68,7 +68,7 @@
                     return await work()
                 except Exception as error:
                     self.failed(name, error)
-                    await asyncio.sleep(RESTART_PAUSE)
+                    await asyncio.sleep(RESTART_BACKOFF_S)
 
         self.start(name, again())
 
@@ -79,7 +79,7 @@
 
     def failed(self, name: str, error: BaseException) -> None:
         self.counters.add("failed tasks")
-        self.log.say("failed", f"{name}\n{''.join(traceback.format_exception(error))}")
+        self.log.write("failed", f"{name}\n{''.join(traceback.format_exception(error))}")
 
     async def stop(self) -> None:
         tasks = list(self._tasks)
--- a/lotusstream/net/buffer.py
+++ b/lotusstream/net/buffer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class BufferFull(Exception):
+class BufferFullError(Exception):
     """More has come than the protocol allows without a break."""
 
 
@@ -24,7 +24,7 @@
                 self._bytes[:kept] = self._bytes[self._start : self._end]
                 self._start, self._end = 0, kept
             elif len(self._bytes) >= self._most:
-                raise BufferFull(f"{len(self._bytes)} bytes")
+                raise BufferFullError(f"{len(self._bytes)} bytes")
             else:  # a new one, since views of the old may still be out
                 grown = bytearray(min(self._most, 2 * len(self._bytes)))
                 grown[: self._end] = self._bytes
--- a/lotusstream/net/clock.py
+++ b/lotusstream/net/clock.py
@@ -4,8 +4,8 @@
 
 import time
 
-WATCH_PAUSE = 50_000  # microseconds between two looks at the loop
-LAG_NOTICED = 20_000  # a turn of the loop that counts against the time of the requests behind it
+LOOP_WATCH_INTERVAL_US = 50_000  # microseconds between two looks at the loop
+LONG_TURN_US = 20_000  # a turn of the loop that counts against the time of the requests behind it
 
 
 class Clock:
@@ -16,7 +16,7 @@
         self._watched_at: int | None = None
         self._previous_turn: int | None = None
 
-    def watched(self, previous_turn: int | None) -> None:
+    def record_loop_turn(self, previous_turn: int | None) -> None:
         """The loop's watch has its turn. `previous_turn`: when its turn before was, where turns are long."""
         self._watched_at, self._previous_turn = self.now(), previous_turn
 
@@ -26,7 +26,7 @@
         now = self.now()
         if self._previous_turn is not None:
             return self._previous_turn
-        if self._watched_at is not None and now - self._watched_at > WATCH_PAUSE + LAG_NOTICED:
+        if self._watched_at is not None and now - self._watched_at > LOOP_WATCH_INTERVAL_US + LONG_TURN_US:
             return self._watched_at
         return now
 
--- a/lotusstream/net/commitment_gate.py
+++ b/lotusstream/net/commitment_gate.py
@@ -20,8 +20,8 @@
 
     start: RunAttempt
     actor: EndpointActor
-    engine: api.EndpointEntry
-    taken: ReceivedRequest
+    entry: api.EndpointEntry
+    request: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,20 +36,20 @@
 class AnswerReceived:
     """An engine has answered; Ready follows. `given`: the time that the client gave, microseconds."""
 
-    command: int
+    request_id: int
     rows: bytes
-    ends_by: int
-    given: int
+    deadline: int
+    time_limit: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClosed:
     """No answer is owed any more. `ran`: a send that has ended may have run. `out`: sends that have not."""
 
-    command: int
-    ran: bool
-    out: frozenset[int]
-    given: int
+    request_id: int
+    may_have_run: bool
+    in_flight: frozenset[int]
+    time_limit: int
 
 
 GateMessage = AttemptReady | AttemptControl | AnswerReceived | RequestClosed
@@ -59,9 +59,9 @@
 class AnswerReady:
     """What the client gets; no rows: failed, and why."""
 
-    command: int
+    request_id: int
     rows: bytes | None
-    why: str
+    reason: str
 
 
 class CommitmentGate(Protocol):
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -90,9 +90,9 @@
                 self._take(cl.Tick())
 
     def _departs(self, message: AttemptReady) -> None:
-        start, taken, engine = message.start, message.taken, message.engine
+        start, taken, engine = message.start, message.request, message.entry
         profile = self._deployment.started.profiles[taken.fields.profile]
-        now, mark = self._clock.now(), taken.fields.mark
+        now, mark = self._clock.now(), taken.fields.idempotency_key
         assert mark is not None
         zones = self._deployment.zones
         zone = (
@@ -101,14 +101,14 @@
             else ""
         )
         cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else NOWHERE
-        self._waiting[start.command, start.number] = (start, message.actor)
+        self._waiting[start.request_id, start.attempt] = (start, message.actor)
         said = start.profile.encode() + b"\0" + start.statement
         until = now + max(self._remember, profile.deduplication_window)
-        by = now + (taken.ends_by - now) // PART
+        by = now + (taken.deadline - now) // PART
         again = profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         self._take(
             cl.Leaves(
-                start.command, start.number, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
+                start.request_id, start.attempt, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
                 now, until, by, again,
             )
         )  # fmt: skip
@@ -122,11 +122,11 @@
                 case cl.LetGo(command, send):
                     start, actor = self._waiting.pop((command, send))
                     counters.add("sends promised")
-                    counters.peak("wait for a promise, us", self._clock.now() - start.at)
-                    actor.post(replace(start, at=self._clock.now()))
+                    counters.peak("wait for a promise, us", self._clock.now() - start.started_at)
+                    actor.post(replace(start, started_at=self._clock.now()))
                 case cl.Back(command, send):
                     _, actor = self._waiting.pop((command, send))
-                    post(AttemptFinished(command, send, actor.engine, Outcome.MOOT, 0))
+                    post(AttemptFinished(command, send, actor.endpoint_id, Outcome.MOOT, 0))
                 case cl.Recall(command, zone, cell, since):
                     counters.add("commands that may have run elsewhere")
                     zones = self._deployment.zones
@@ -134,7 +134,7 @@
                     post(SubsystemEvent(api.ExecutedElsewhere(command, at, cell, since)))
                 case cl.Refuse(command, why):
                     counters.add("commands that nothing can be promised for")
-                    self.supervisor.log.say("promises", f"given up: {why}", reason=why)
+                    self.supervisor.log.write("promises", f"given up: {why}", reason=why)
                     post(SubsystemEvent(api.RequestWithdrawn(command)))
                 case cl.Give(command, answer):
                     post(AnswerReady(command, answer, ""))
--- a/lotusstream/net/configuration.py
+++ b/lotusstream/net/configuration.py
@@ -19,12 +19,12 @@
 class Configuration:
     name: str
     listen: Address
-    board: Address
+    discovery_address: Address
     cores: float
     descriptors: int
     memory: int
     deployment: Deployment
-    known: discovery.Notices
+    initial_events: discovery.WatchEvents
 
 
 def read_configuration(text: str) -> Configuration:
@@ -39,12 +39,12 @@
         return Configuration(
             name=str(raw["name"]),
             listen=listen,
-            board=board,
+            discovery_address=board,
             cores=float(raw["limits"].get("cores", 1.0)),
             descriptors=int(raw["limits"]["sockets"]),
             memory=int(raw["limits"]["memory_mb"]) << 20,
             deployment=deployment,
-            known=discovery.read_notices(raw["known"], deployment),
+            initial_events=discovery.decode_watch_events(raw["known"], deployment),
         )
     except KeyError as error:
         raise ConfigurationError(f"configuration: {error} is missing") from error
--- a/lotusstream/net/connection.py
+++ b/lotusstream/net/connection.py
@@ -6,7 +6,7 @@
 import encodings.idna  # noqa: F401 - the loop's connect looks for it, and may first do so out of descriptors
 import socket
 
-from lotusstream.net.buffer import Buffer, BufferFull
+from lotusstream.net.buffer import Buffer, BufferFullError
 from lotusstream.net.clock import Clock
 from lotusstream.protocol import http
 
@@ -38,11 +38,11 @@
     """How many connections may be open at once. The last few are kept back for calls that end things."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.kept_back, self.used = most, most // 8, 0
+        self.limit, self.reserved, self.used = most, most // 8, 0
         self._idle: dict[Connection, ConnectionPool] = {}
 
-    def take(self, ends_things: bool) -> None:
-        most = self.most if ends_things else self.most - self.kept_back
+    def acquire(self, ends_things: bool) -> None:
+        most = self.limit if ends_things else self.limit - self.reserved
         while self.used >= most and self._idle:
             connection, pool = next(iter(self._idle.items()))
             pool.drop(connection)
@@ -50,21 +50,21 @@
             raise NoDescriptorError
         self.used += 1
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         self.used -= 1
 
     def trim(self, now: int) -> None:
         """Closes what has been idle for as long as its pool keeps one: the longest idle stand first."""
         while self._idle:
             connection, pool = next(iter(self._idle.items()))
-            if now - connection.idle_since < pool.keep:
+            if now - connection.idle_since < pool.max_idle:
                 return
             pool.drop(connection)
 
-    def rests(self, connection: Connection, pool: ConnectionPool) -> None:
+    def mark_idle(self, connection: Connection, pool: ConnectionPool) -> None:
         self._idle[connection] = pool
 
-    def works(self, connection: Connection) -> None:
+    def mark_busy(self, connection: Connection) -> None:
         self._idle.pop(connection, None)
 
 
@@ -81,7 +81,7 @@
 
     def __init__(self, sock: socket.socket, budget: SocketBudget, longest_body: int) -> None:
         self._sock, self._budget, self._longest = sock, budget, longest_body
-        self._buffer = Buffer(8192, http.LONGEST_HEAD + longest_body)  # an engine's answer in one read
+        self._buffer = Buffer(8192, http.MAX_HEAD_BYTES + longest_body)  # an engine's answer in one read
         self.closed = False
         self.idle_since = 0
 
@@ -89,7 +89,7 @@
     async def open(
         cls, endpoint: Address, time_out: int, budget: SocketBudget, longest_body: int, *, ends_things: bool
     ) -> Connection:
-        budget.take(ends_things)
+        budget.acquire(ends_things)
         sock: socket.socket | None = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -99,7 +99,7 @@
                 await asyncio.get_running_loop().sock_connect(sock, endpoint)
             return cls(sock, budget, longest_body)
         except BaseException as error:
-            budget.give_back()
+            budget.release()
             if sock is not None:
                 sock.close()
             if isinstance(error, ConnectionRefusedError):
@@ -108,24 +108,24 @@
                 raise ConnectError(repr(error)) from error
             raise
 
-    def still_open(self) -> bool:
+    def is_still_open(self) -> bool:
         """Nothing has come while it was idle, no close either."""
         try:
             return not self.closed and bytes_there(self._sock) is None
         except OSError:
             return False
 
-    async def call(self, request: bytes, patience: int, longest: int = 0) -> http.Answer:
+    async def call(self, request: bytes, patience: int, longest: int = 0) -> http.HttpResponse:
         """`patience`: until the answer is whole or, where a `longest` is given, until it goes on, in
         microseconds.
         A long answer over a slow path would be asked for again and again otherwise."""
         loop = asyncio.get_running_loop()
-        reader = http.AnswerReader(self._longest)
+        reader = http.HttpResponseReader(self._longest)
         latest = loop.time() + longest / US
         try:
             async with asyncio.timeout(patience / US) as limit:
                 await loop.sock_sendall(self._sock, request)
-                while reader.answer is None:
+                while reader.response is None:
                     count = await loop.sock_recv_into(self._sock, self._buffer.space())
                     if not count:
                         raise CallBrokenError("closed before the answer was whole")
@@ -137,15 +137,15 @@
                     reader.feed(data)
         except TimeoutError as error:
             raise CallSilentError(repr(error)) from error
-        except (OSError, http.AnswerFormatError, BufferFull) as error:
+        except (OSError, http.ResponseFormatError, BufferFullError) as error:
             raise CallBrokenError(repr(error)) from error
-        return reader.answer
+        return reader.response
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self._budget.works(self)
-            self._budget.give_back()
+            self._budget.mark_busy(self)
+            self._budget.release()
             self._sock.close()
 
 
@@ -169,7 +169,7 @@
         self._endpoint, self._budget, self._longest = endpoint, budget, longest_body
         self._rest = rest
         self.host, self._clock = f"{endpoint[0]}:{endpoint[1]}", clock
-        self.connect_timeout, self.keep = connect_timeout, idle_timeout // 2
+        self.connect_timeout, self.max_idle = connect_timeout, idle_timeout // 2
         self._idle: dict[Connection, None] = {}
         self._closed = False
 
@@ -179,8 +179,8 @@
         rested = [] if fresh else [each for each in self._idle if now - each.idle_since >= self._rest]
         for connection in reversed(rested):  # the last used first: the rest get old and are closed
             del self._idle[connection]
-            self._budget.works(connection)
-            if connection.still_open():
+            self._budget.mark_busy(connection)
+            if connection.is_still_open():
                 return connection
             connection.close()
         return await Connection.open(
@@ -189,7 +189,7 @@
 
     async def call(
         self, connection: Connection, request: bytes, patience: int, longest: int = 0
-    ) -> http.Answer:
+    ) -> http.HttpResponse:
         """One call on a connection that was got from here; afterwards it is idle or closed."""
         answer = await self.call_and_keep(connection, request, patience, longest)
         self.put_back(connection)
@@ -197,7 +197,7 @@
 
     async def call_and_keep(
         self, connection: Connection, request: bytes, patience: int, longest: int = 0
-    ) -> http.Answer:
+    ) -> http.HttpResponse:
         """The same, for a user that has more to ask: the connection is still its own, to be put back, and
         closed where it can carry no other call."""
         try:
@@ -205,7 +205,7 @@
         except BaseException:
             connection.close()
             raise
-        if not answer.reusable:
+        if not answer.connection_reusable:
             connection.close()
         return answer
 
@@ -215,7 +215,7 @@
             return
         connection.idle_since = self._clock.now()
         self._idle[connection] = None
-        self._budget.rests(connection, self)
+        self._budget.mark_idle(connection, self)
 
     def drop(self, connection: Connection) -> None:
         self._idle.pop(connection, None)
@@ -224,7 +224,7 @@
     def trim(self) -> None:
         """Idle ones stand in the order of their last use."""
         now = self._clock.now()
-        while self._idle and now - (oldest := next(iter(self._idle))).idle_since >= self.keep:
+        while self._idle and now - (oldest := next(iter(self._idle))).idle_since >= self.max_idle:
             self.drop(oldest)
 
     def close(self) -> None:
--- a/lotusstream/net/control.py
+++ b/lotusstream/net/control.py
@@ -17,11 +17,11 @@
 from lotusstream.protocol import control as wire
 
 
-class SocketTaken(Exception):
+class ControlSocketError(Exception):
     """The path can't be used: another gateway answers there, or it is no socket."""
 
 
-class Refused(Exception):
+class ControlRejectedError(Exception):
     """A request that can't be carried out."""
 
     def __init__(self, kind: str, why: str) -> None:
@@ -29,30 +29,33 @@
         self.kind = kind
 
 
-Answerer = Callable[[Any], Awaitable[Any]]
+ControlHandler = Callable[[Any], Awaitable[Any]]
 
 
 @dataclass(frozen=True, slots=True)
 class ControlLimits:
     """What clients may do: bytes of a request, microseconds of slowness, clients at once."""
 
-    longest_request: int
-    patience: int
-    clients: int
+    max_request_bytes: int
+    timeout: int
+    max_clients: int
 
 
 class ControlServer:
-    """Answers by `answer`, which raises Refused. Each client has a task of its own: one that is slow,
-    silent or talks nonsense is dropped when its time is over, and harms nobody."""
+    """Serves control requests, each by a call of `answer`, which may raise ControlRejectedError. Each client
+    has a task of its own: one that is slow, silent or malformed is disconnected at its time-out and delays no
+    other."""
 
-    def __init__(self, path: str, manners: ControlLimits, answer: Answerer, supervisor: Supervisor) -> None:
+    def __init__(
+        self, path: str, manners: ControlLimits, answer: ControlHandler, supervisor: Supervisor
+    ) -> None:
         self._path, self._manners, self._answer, self._supervisor = path, manners, answer, supervisor
         self._listener: socket.socket | None = None
         self._made: tuple[int, int] | None = None  # device and inode of the socket's file
         self._clients = 0
 
     def start(self) -> None:
-        """Raises SocketTaken, or OSError where the folder can't be written."""
+        """Raises ControlSocketError, or OSError where the folder can't be written."""
         self._make_way()
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         listener.setblocking(False)
@@ -60,7 +63,7 @@
         try:
             listener.bind(self._path)
             os.chmod(self._path, 0o600)
-            listener.listen(self._manners.clients)
+            listener.listen(self._manners.max_clients)
         except BaseException:
             listener.close()
             raise
@@ -68,7 +71,7 @@
             os.umask(before)
         seen = os.stat(self._path)
         self._listener, self._made = listener, (seen.st_dev, seen.st_ino)
-        self._supervisor.keep("control", self._accept)
+        self._supervisor.start_restarting("control", self._accept)
 
     def _make_way(self) -> None:
         """Takes away what a gateway that was killed has left, and nothing else."""
@@ -77,16 +80,16 @@
         except FileNotFoundError:
             return
         if not stat.S_ISSOCK(mode):
-            raise SocketTaken(f"{self._path} is no socket: name another path")
+            raise ControlSocketError(f"{self._path} is no socket: name another path")
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as trial:
             trial.setblocking(False)
             try:
                 trial.connect(self._path)
             except OSError as error:
                 if error.errno != errno.ECONNREFUSED:
-                    raise SocketTaken(f"{self._path}: {error.strerror}") from error
+                    raise ControlSocketError(f"{self._path}: {error.strerror}") from error
             else:
-                raise SocketTaken(f"{self._path}: another gateway answers there")
+                raise ControlSocketError(f"{self._path}: another gateway answers there")
         os.unlink(self._path)
 
     async def _accept(self) -> None:
@@ -95,7 +98,7 @@
         while True:
             sock, _ = await loop.sock_accept(self._listener)
             sock.setblocking(False)
-            if self._clients >= self._manners.clients:
+            if self._clients >= self._manners.max_clients:
                 self._supervisor.counters.add("control clients without room")
                 sock.close()
                 continue
@@ -122,11 +125,11 @@
 
     async def _request(self, sock: socket.socket) -> bool:
         """False once the client has left."""
-        async with asyncio.timeout(self._manners.patience / US):
+        async with asyncio.timeout(self._manners.timeout / US):
             head = await self._exactly(sock, wire.LENGTH.size)
             if head is None:
                 return False
-            length = wire.frame_length(head, self._manners.longest_request)
+            length = wire.frame_length(head, self._manners.max_request_bytes)
             payload = await self._exactly(sock, length)
         if payload is None:
             return False
@@ -136,13 +139,13 @@
             if error.fatal:
                 raise
             reply = wire.Reply(wire.Refusal("request", str(error)))
-        except Refused as error:
+        except ControlRejectedError as error:
             reply = wire.Reply(wire.Refusal(error.kind, str(error)))
         await self._say(sock, reply)
         return True
 
     async def _say(self, sock: socket.socket, reply: wire.Reply) -> None:
-        async with asyncio.timeout(self._manners.patience / US):
+        async with asyncio.timeout(self._manners.timeout / US):
             await asyncio.get_running_loop().sock_sendall(sock, wire.encode_reply(reply))
 
     async def _exactly(self, sock: socket.socket, count: int) -> bytes | None:
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -24,7 +24,7 @@
 from lotusstream.net import clock, raft_node
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import US
-from lotusstream.net.control import Refused
+from lotusstream.net.control import ControlRejectedError
 from lotusstream.net.tasks import TaskContext
 from lotusstream.protocol import peers as wire
 from lotusstream.wal.log import CorruptLogError, DiskError, Log
@@ -125,7 +125,7 @@
         self._terms, self._tell, self._look = terms, tell, look
         self._store = CopyStore(folder, name)
         if self._store.damaged:
-            supervisor.log.say("copies", f"put aside, and copied anew: {self._store.damaged}", "error")
+            supervisor.log.write("copies", f"put aside, and copied anew: {self._store.damaged}", "error")
         self.holder = Holder(Place(name, self._store.disk), machine, zone)
         session = f"{self._store.disk}.{uuid.uuid4().hex[:8]}"
         place = self.holder.place
@@ -143,9 +143,9 @@
 
     def start(self) -> None:
         super().start()
-        self.supervisor.keep("beacons", self._beacons)
+        self.supervisor.start_restarting("beacons", self._beacons)
         if self._terms.scrub:
-            self.supervisor.keep("scrub", self._scrub)
+            self.supervisor.start_restarting("scrub", self._scrub)
 
     async def _scrub(self) -> None:
         """The log is read again once in the told time. Memory has all that it holds: a damaged one is written
@@ -156,7 +156,7 @@
             if self._failed or (at := await asyncio.to_thread(self._store.damaged_at)) is None:
                 continue
             self.supervisor.counters.add("copies logs found damaged")
-            self.supervisor.log.say("copies", f"damaged on disk at byte {at}, written anew", "error")
+            self.supervisor.log.write("copies", f"damaged on disk at byte {at}, written anew", "error")
             self._anew = True
             self._begin_saving()
 
@@ -254,7 +254,7 @@
                     how = f"{names} filled anew" if names else f"{ahead.name} is to be home" if ahead else ""
                     text = f"copies of shard {shard} differ: {how or 'nobody can tell which is right'}"
                     self.supervisor.counters.add("copies found to differ")
-                    self.supervisor.log.say("copies", text, "error", shard=shard)
+                    self.supervisor.log.write("copies", text, "error", shard=shard)
 
     def _answer(self, ticket: int, what: str, holding: Any, why: str = "", home: str = "") -> None:
         if (found := self._tickets.pop(ticket, None)) is not None:
@@ -280,7 +280,7 @@
             except DiskError as error:
                 self._failed = str(error)
                 self.supervisor.counters.add("copies disk failures")
-                self.supervisor.log.say("copies", f"this holder stands still: {error}", "error")
+                self.supervisor.log.write("copies", f"this holder stands still: {error}", "error")
                 return
             if saves:
                 self.post(rp.Persisted(saves[-1].number))
@@ -373,16 +373,16 @@
         return self._manager is not None and bool(self._token)
 
     async def drain(self, machine: str, undo: bool) -> dict[str, Any]:
-        """Agreed on first, so that whoever decides next knows it. Raises Refused."""
+        """Agreed on first, so that whoever decides next knows it. Raises ControlRejectedError."""
         if (view := await self._look()) is None:
-            raise Refused("busy", "the quorum does not answer")
+            raise ControlRejectedError("busy", "the quorum does not answer")
         machines = self._drained(view)
         machines = machines - {machine} if undo else machines | {machine}
         note = view["notes"].get(DRAINED)
         version = note["version"] + 1 if note else 1
         value = msgspec.json.encode(sorted(machines)).decode()
         if why := await self._put(DRAINED, version, value, self._token):
-            raise Refused("busy", why)
+            raise ControlRejectedError("busy", why)
         self.post(mg.Drained(machines))
         assigned = self._manager.assigned.values() if self._manager else ()
         seen = {place.name: machine for place, machine in self._machines.items()}
@@ -416,7 +416,7 @@
                 case mg.Endangered(thin, lost):
                     text = f"{thin} shards bear no further loss, {lost} have nobody left"
                     severity = "warning" if thin or lost else "info"
-                    self.supervisor.log.say("copies", text, severity, thin=thin, lost=lost)
+                    self.supervisor.log.write("copies", text, severity, thin=thin, lost=lost)
 
     async def _propose(self, assigned: Assigned, token: int) -> None:
         value = msgspec.json.encode(assigned).decode()
@@ -425,7 +425,7 @@
             return
         if not why:
             text = f"shard {assigned.shard}, epoch {assigned.epoch}: home {assigned.home.name}"
-            self.supervisor.log.say("assigned", text, "debug", shard=assigned.shard, epoch=assigned.epoch)
+            self.supervisor.log.write("assigned", text, "debug", shard=assigned.shard, epoch=assigned.epoch)
             self.post(mg.Agreed(assigned))
             return
         view = await self._look()
--- a/lotusstream/net/decider.py
+++ b/lotusstream/net/decider.py
@@ -39,10 +39,10 @@
 from lotusstream.policy import Gateway
 from lotusstream.protocol import discovery, front
 
-ROUND_BUDGET = 10_000  # microseconds that the decisions on new requests may take in one round
-LONGEST_QUEUED = 100_000  # microseconds after which a request is told whatever fits: it may be refused
-FIRST_REQUESTS = 8  # in a round, until it is known what one takes
-LIST_SLICE = 256  # entries of a list that the module is told of in one round
+BATCH_TIME_BUDGET_US = 10_000  # microseconds that the decisions on new requests may take in one round
+MAX_QUEUE_DELAY_US = 100_000  # microseconds after which a request is told whatever fits: it may be refused
+INITIAL_BATCH_REQUEST_COUNT = 8  # in a round, until it is known what one takes
+LIST_SLICE_ENTRY_COUNT = 256  # entries of a list that the module is told of in one round
 
 
 @dataclass(slots=True, eq=False)
@@ -97,7 +97,7 @@
         self._stopping: api.ShutdownStarted | None = None
         self._now = self._last_round = 0
         self._left_over = False  # something is to be told that did not fit the last round
-        self._request_cost, self._most_requests = 0.0, FIRST_REQUESTS
+        self._request_cost, self._most_requests = 0.0, INITIAL_BATCH_REQUEST_COUNT
         self._ids = 0
         self._held: dict[int, OpenRequest] = {}
         self._by_taken: dict[ReceivedRequest, OpenRequest] = {}
@@ -106,7 +106,7 @@
         self._list_slices: deque[discovery.ListedEndpoint] = deque()  # that the module has not been told yet
         self._timers: list[tuple[int, int]] = []
         self._armed: tuple[int, asyncio.TimerHandle] | None = None
-        self.listed = False
+        self.has_endpoint_list = False
 
     async def run(self) -> None:
         self._now = self._clock.now()
@@ -132,7 +132,7 @@
             actions += self._tell(news)
         taken = 0
         while (first := self.mailbox.first_request) is not None:
-            if taken >= self._most_requests and self._now - first.sent_at < LONGEST_QUEUED:
+            if taken >= self._most_requests and self._now - first.sent_at < MAX_QUEUE_DELAY_US:
                 break
             self.mailbox.drop_first_request()
             actions += self._told(first)
@@ -153,7 +153,7 @@
         """How many new requests fit a round, by what one has taken lately."""
         if taken:
             self._request_cost += (spent / taken - self._request_cost) / 8
-            self._most_requests = max(1, int(ROUND_BUDGET / max(self._request_cost, 1.0)))
+            self._most_requests = max(1, int(BATCH_TIME_BUDGET_US / max(self._request_cost, 1.0)))
 
     def _told(self, message: DeciderMessage) -> list[api.Action]:
         try:
@@ -176,7 +176,7 @@
             case api.AttemptProgressed():
                 return message if message.request_id in self._held else None
             case discovery.EndpointListUpdate():
-                self._list(message)
+                self._on_endpoint_list_update(message)
             case api.ShutdownStarted():
                 self._stopping = message
                 return message
@@ -193,29 +193,31 @@
         counters.add(f"taken {profile}")
         waited = self._now - taken.sent_at
         counters.observe("wait before the module, us", waited)
-        if taken.over:
+        if taken.closed:
             counters.add("left before they were decided")
             return None
-        if taken.fields.call in self._calls:
+        if taken.fields.call_id in self._calls:
             counters.add("commands unusable")
             taken.client.post(ClientReply(front.encode_failure(taken.seqid, "call is open already"), taken))
             return None
-        many = 0 < self._deployment.most_open <= len(self._by_taken)
+        many = 0 < self._deployment.max_open_requests <= len(self._by_taken)
         if many or self._bytes + len(taken.statement) > self._most_bytes:
             counters.add("commands past the limits")
             counters.add(f"shed {profile}")
-            taken.client.post(ClientReply(front.encode_shed(taken.seqid, 0), taken))
+            taken.client.post(ClientReply(front.encode_rejection(taken.seqid, 0), taken))
             return None
         self._ids += 1
         held = self._held[self._ids] = self._by_taken[taken] = OpenRequest(self._ids, taken)
-        held.behind = self.gate is not None and self.gate.covers(taken.fields.profile, taken.fields.mark)
-        self._calls.add(taken.fields.call)
+        held.behind = self.gate is not None and self.gate.covers(
+            taken.fields.profile, taken.fields.idempotency_key
+        )
+        self._calls.add(taken.fields.call_id)
         self._bytes += len(taken.statement)
-        fields, left = taken.fields, max(0, taken.ends_by - self._now)
+        fields, left = taken.fields, max(0, taken.deadline - self._now)
         return api.RequestReceived(
             held.id,
             fields.profile,
-            fields.hint,
+            fields.work_hint,
             fields.memory_mb,
             left,
             taken.group,
@@ -236,25 +238,26 @@
         """Guards the client against a module that forgot its command."""
         if (held := self._by_taken.get(taken)) is None:
             return None
-        self.supervisor.log.say(
+        self.supervisor.log.write(
             "unanswered",
-            f"request {taken.fields.call} is overdue: {len(held.sends)} attempts, {len(held.out)} still out",
-            call=taken.fields.call,
+            f"request {taken.fields.call_id} is overdue: "
+            f"{len(held.sends)} attempts, {len(held.out)} still out",
+            call=taken.fields.call_id,
             attempts=len(held.sends),
         )
         self._answer(held, front.encode_failure(taken.seqid, "not answered"), "failed")
-        self.supervisor.invariants.hold("a command is answered in its client's time", False)
+        self.supervisor.invariants.check("a command is answered in its client's time", False)
         return api.ClientDisconnected(held.id)
 
     def _ended(self, told: AttemptFinished) -> api.Event | None:
-        held = self._held.get(told.command)
-        once = held is not None and told.number in held.out
-        if not self.supervisor.invariants.hold("a send ends once", once) or held is None:
+        held = self._held.get(told.request_id)
+        once = held is not None and told.attempt in held.out
+        if not self.supervisor.invariants.check("a send ends once", once) or held is None:
             return None
-        held.out.discard(told.number)
+        held.out.discard(told.attempt)
         held.last_outcome = told.outcome
-        if (actor := held.sends[told.number]) is not None:
-            actor.attempts_out, actor.used_at = actor.attempts_out - 1, self._now
+        if (actor := held.sends[told.attempt]) is not None:
+            actor.in_flight, actor.used_at = actor.in_flight - 1, self._now
         self.supervisor.counters.add(f"sends {told.outcome.name.lower()}")
         held.ran = held.ran or told.outcome not in api.PROVES_NOT_EXECUTED
         if told.outcome is Outcome.ANSWERED and held.open:
@@ -262,16 +265,16 @@
         over = not held.open or held.answering
         self._forget(held)
         return api.AttemptEnded(
-            request_id=told.command,
-            attempt=told.number,
-            endpoint_id=told.engine,
+            request_id=told.request_id,
+            attempt=told.attempt,
+            endpoint_id=told.endpoint_id,
             outcome=told.outcome,
             latency=told.latency,
             request_finished=over,
             work=told.work,
             memory_mb=told.memory_mb,
             report=None,
-            endpoint_responded=told.heard,
+            endpoint_responded=told.endpoint_responded,
         )
 
     def _answered(self, held: OpenRequest, rows: bytes) -> None:
@@ -280,51 +283,51 @@
             self._answer(held, frame, "answered")
         elif not held.answering:
             held.answering, taken = True, held.taken
-            self.gate.post(AnswerReceived(held.id, rows, taken.ends_by, taken.fields.time_left))
+            self.gate.post(AnswerReceived(held.id, rows, taken.deadline, taken.fields.time_left))
 
     def _hand_out(self, ready: AnswerReady) -> api.Event | None:
         """The answer is held, or one that was held before."""
-        if (held := self._owed(ready.command)) is None:
+        if (held := self._owed(ready.request_id)) is None:
             return None
         seqid = held.taken.seqid
         if ready.rows is None:
-            self._answer(held, front.encode_failure(seqid, ready.why), "failed")
+            self._answer(held, front.encode_failure(seqid, ready.reason), "failed")
         else:
             self.supervisor.counters.add("answers told again", 0 if held.answering else 1)
             self._answer(held, front.encode_answer("process", seqid, ready.rows, True), "answered")
         return api.ClientDisconnected(held.id)
 
-    def _list(self, notice: discovery.EndpointListUpdate) -> None:
+    def _on_endpoint_list_update(self, notice: discovery.EndpointListUpdate) -> None:
         """Takes what a list says anew. A long one is told to the module in slices, a round each, so that
         answers and timers are not held up; what is withdrawn comes first."""
         began = self._clock.now()
-        differing = self._endpoints.differing(notice)
+        differing = self._endpoints.changed_entries(notice)
         self._endpoints.apply(differing)
         self.supervisor.counters.observe("list applied, us", self._clock.now() - began)
-        latest = {each.engine.id: each for each in (*self._list_slices, *differing)}
+        latest = {each.entry.id: each for each in (*self._list_slices, *differing)}
         withdrawn_first = sorted(
-            latest.values(), key=lambda each: each.engine.status is api.EndpointStatus.READY
+            latest.values(), key=lambda each: each.entry.status is api.EndpointStatus.READY
         )
         self._list_slices = deque(withdrawn_first)
         self.supervisor.counters.peak("listed endpoints", len(self._endpoints))
         self.supervisor.counters.add("list entries changed", len(differing))
-        self.listed = True
+        self.has_endpoint_list = True
 
     def _next_slice(self) -> api.EndpointListReceived | None:
         if not self._list_slices:
             return None
-        count = min(LIST_SLICE, len(self._list_slices))
-        entries = tuple(self._list_slices.popleft().engine for _ in range(count))
+        count = min(LIST_SLICE_ENTRY_COUNT, len(self._list_slices))
+        entries = tuple(self._list_slices.popleft().entry for _ in range(count))
         return api.EndpointListReceived(api.EndpointListKind.DELTA, entries)
 
-    def look_after(self) -> None:
+    def evaluate(self) -> None:
         """Now and then: what is overdue, idle or retired."""
         now = self._clock.now()
         for taken in self._by_taken:
-            if now > taken.ends_by:
+            if now > taken.deadline:
                 self.post(RequestOverdue(taken))
         self._budget.trim(now)
-        self._endpoints.tidy(now)
+        self._endpoints.close_idle_actors(now)
 
     def _describe(self, answer: asyncio.Future[OperatorView]) -> None:
         believed = next(
@@ -336,12 +339,12 @@
         for held in self._by_taken.values():
             taken, profile = held.taken, self._deployment.profiles[held.taken.fields.profile]
             actors = [held.sends[number] for number in sorted(held.out)]
-            engines = tuple(actor.engine.decode("latin-1") for actor in actors if actor is not None)
-            age = self._now - (taken.ends_by - taken.fields.time_left)
-            left = taken.ends_by - self._now
+            engines = tuple(actor.endpoint_id.decode("latin-1") for actor in actors if actor is not None)
+            age = self._now - (taken.deadline - taken.fields.time_left)
+            left = taken.deadline - self._now
             commands.append(
                 OpenRequestView(
-                    held.id, taken.fields.call, profile, taken.group, age, left, len(held.sends), engines
+                    held.id, taken.fields.call_id, profile, taken.group, age, left, len(held.sends), engines
                 )
             )
         addresses = self._endpoints.addresses()
@@ -373,7 +376,7 @@
             return list(self._module.handle(self._now, event))
         except Exception:
             self.supervisor.counters.add("module failed")
-            self.supervisor.log.say("module failed", f"at {event}\n{traceback.format_exc()}")
+            self.supervisor.log.write("module failed", f"at {event}\n{traceback.format_exc()}")
         try:
             return self._begin_anew()
         except Exception as error:
@@ -389,7 +392,7 @@
                 self._cancel(held, number)
         self._module = self._new_module()
         self._timers.clear()
-        listed = tuple(listed.engine for listed in self._endpoints.listed.values())
+        listed = tuple(listed.entry for listed in self._endpoints.listed.values())
         news = api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, listed)
         events = (self._started, news, self._stopping) if self._stopping else (self._started, news)
         return [action for event in events for action in self._module.handle(self._now, event)]
@@ -414,7 +417,7 @@
             case api.RejectRequest(command, come_back_after):
                 if held := self._owed(command):
                     self._note_refusal(held, action.reason)
-                    self._answer(held, front.encode_shed(held.taken.seqid, come_back_after), "shed")
+                    self._answer(held, front.encode_rejection(held.taken.seqid, come_back_after), "shed")
             case api.FailRequest(command):
                 if held := self._owed(command):
                     self._note_refusal(held, action.reason)
@@ -422,7 +425,7 @@
             case api.SetTimer(at, token):
                 heapq.heappush(self._timers, (at, token))
             case _:
-                self.supervisor.invariants.hold(f"{type(action).__name__} is never asked for here", False)
+                self.supervisor.invariants.check(f"{type(action).__name__} is never asked for here", False)
 
     def _owed(self, command: int) -> OpenRequest | None:
         """The command, where an answer is still owed: the client may have left a moment ago."""
@@ -441,29 +444,29 @@
             held.sends[number] = None
             self.post(AttemptFinished(held.id, number, action.endpoint_id, Outcome.MOOT, 0))
             return
-        actor.attempts_out, actor.used_at = actor.attempts_out + 1, self._now
+        actor.in_flight, actor.used_at = actor.in_flight + 1, self._now
         taken = held.taken
-        ends_at = min(self._now + action.timeout, taken.ends_by) if action.timeout else taken.ends_by
+        ends_at = min(self._now + action.timeout, taken.deadline) if action.timeout else taken.deadline
         profile = self._deployment.profiles[taken.fields.profile]
         self.supervisor.counters.add(f"sent {profile}")
         if number:
             before = held.last_outcome.name.lower() if held.last_outcome is not None else "still out"
             self.supervisor.counters.add(f"sent again after {before}")
         start = RunAttempt(
-            command=held.id,
-            number=number,
-            at=self._now,
-            ends_at=ends_at,
-            call=taken.fields.call,
+            request_id=held.id,
+            attempt=number,
+            started_at=self._now,
+            deadline=ends_at,
+            call_id=taken.fields.call_id,
             profile=profile,
             statement=taken.statement,
-            mark=taken.fields.mark,
+            idempotency_key=taken.fields.idempotency_key,
             priority=held.priority,
-            owed=taken.owed,
+            is_awaited=taken.is_awaited,
         )
         if self.gate is not None and held.behind:
             self.gate.post(
-                AttemptReady(start, actor, self._endpoints.listed[action.endpoint_id].engine, taken)
+                AttemptReady(start, actor, self._endpoints.listed[action.endpoint_id].entry, taken)
             )
         else:
             actor.post(start)
@@ -491,11 +494,11 @@
         counters, taken = self.supervisor.counters, held.taken
         counters.add(f"no result: {reason.value}")
         age = (self._now - taken.sent_at) // 1000
-        self.supervisor.log.say(
+        self.supervisor.log.write(
             "no result",
-            f"request {taken.fields.call} after {age} ms and {len(held.sends)} attempts: {reason.value}",
+            f"request {taken.fields.call_id} after {age} ms and {len(held.sends)} attempts: {reason.value}",
             "info",
-            call=taken.fields.call,
+            call=taken.fields.call_id,
             age_ms=age,
             attempts=len(held.sends),
             reason=reason.name.lower(),
@@ -508,13 +511,13 @@
         self._close(held)
 
     def _close(self, held: OpenRequest) -> None:
-        held.open, held.taken.over = False, True
+        held.open, held.taken.closed = False, True
         if self.gate is not None and held.behind:
             self.gate.post(RequestClosed(held.id, held.ran, frozenset(held.out), held.taken.fields.time_left))
         self._bytes -= len(held.taken.statement)
         held.taken.statement = b""
         self._by_taken.pop(held.taken, None)
-        self._calls.discard(held.taken.fields.call)
+        self._calls.discard(held.taken.fields.call_id)
         self._forget(held)
 
     def _forget(self, held: OpenRequest) -> None:
--- a/lotusstream/net/decider_mailbox.py
+++ b/lotusstream/net/decider_mailbox.py
@@ -36,4 +36,4 @@
     def drop_first_request(self) -> None:
         self._requests.popleft()
         if not self._requests and not len(self):
-            self.rest()
+            self.clear_wake()
--- a/lotusstream/net/decider_messages.py
+++ b/lotusstream/net/decider_messages.py
@@ -24,7 +24,7 @@
     event: Any
 
 
-class RoundDue:
+class BatchDue:
     """A round is due though nothing has come: time alone may change something beside the module."""
 
 
@@ -47,8 +47,8 @@
     """For operators: what is open, and what the module believes."""
 
     now: int
-    believed: api.GatewaySnapshot
-    commands: tuple[OpenRequestView, ...]
+    snapshot: api.GatewaySnapshot
+    requests: tuple[OpenRequestView, ...]
     addresses: dict[api.EndpointId, str]
     kinds: tuple[str, ...]
 
@@ -70,7 +70,7 @@
     | api.ShutdownStarted
     | TimerDue
     | SubsystemEvent
-    | RoundDue
+    | BatchDue
     | ViewRequested
     | AnswerReady
 )
--- a/lotusstream/net/endpoint.py
+++ b/lotusstream/net/endpoint.py
@@ -31,54 +31,54 @@
 
 @dataclass(frozen=True, slots=True)
 class RunAttempt:
-    command: int
-    number: int
-    at: int
-    ends_at: int
-    call: str
+    request_id: int
+    attempt: int
+    started_at: int
+    deadline: int
+    call_id: str
     profile: str
     statement: bytes
-    mark: str | None
+    idempotency_key: str | None
     priority: int | None
-    owed: Callable[[], bool] = lambda: True  # whether somebody still waits for the answer
+    is_awaited: Callable[[], bool] = lambda: True  # whether somebody still waits for the answer
 
 
 @dataclass(frozen=True, slots=True)
 class AbortAttempt:
-    command: int
-    number: int
+    request_id: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangePriority:
-    command: int
-    number: int
+    request_id: int
+    attempt: int
     priority: int
 
 
 @dataclass(frozen=True, slots=True)
-class ListingChanged:
+class EndpointListingChanged:
     """What the list says of this engine now."""
 
-    ready: bool
+    is_ready: bool
     restarted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    command: int
-    number: int
-    engine: api.EndpointId
+    request_id: int
+    attempt: int
+    endpoint_id: api.EndpointId
     outcome: Outcome
     latency: int
     work: int | None = None
     memory_mb: float | None = None
     rows: bytes | None = None
-    heard: bool = False
+    endpoint_responded: bool = False
 
 
-EndpointMessage = RunAttempt | AbortAttempt | ChangePriority | ListingChanged
-ReportOutcome = Callable[[AttemptFinished | api.AttemptProgressed], None]
+EndpointMessage = RunAttempt | AbortAttempt | ChangePriority | EndpointListingChanged
+ReportAttemptEvent = Callable[[AttemptFinished | api.AttemptProgressed], None]
 
 
 class RunningAttempt:
@@ -105,24 +105,26 @@
         connect_timeout: int,
         idle_timeout: int,
         clock: Clock,
-        report: ReportOutcome,
+        report: ReportAttemptEvent,
         supervisor: Supervisor,
         copies: bool = True,
     ) -> None:
         """`copies`: two sends of a command may be out at once."""
         super().__init__(f"engine {engine.decode()}", supervisor)
-        self.engine, self.endpoint, self.ready = engine, endpoint, True
-        self.attempts_out, self.used_at = 0, clock.now()  # counted by who starts them
+        self.endpoint_id, self.address, self.is_ready = engine, endpoint, True
+        self.in_flight, self.used_at = 0, clock.now()  # counted by who starts them
         self._incarnation = 0  # counts the engine's restarts, as far as they are listed
         times = connect_timeout, idle_timeout
-        self._pool = ConnectionPool(endpoint, budget, *times, http.PAGE_BYTES, clock, rest=http.ECHO)
+        self._pool = ConnectionPool(
+            endpoint, budget, *times, http.MAX_PAGE_BYTES, clock, rest=http.DUPLICATE_RESPONSE_DELAY_US
+        )
         self._clock, self._report, self._copies = clock, report, copies
         self._running: dict[tuple[int, int], RunningAttempt] = {}
 
     async def receive(self, message: EndpointMessage) -> None:
         match message:
             case RunAttempt():
-                running = self._running[message.command, message.number] = RunningAttempt(
+                running = self._running[message.request_id, message.attempt] = RunningAttempt(
                     message, self._incarnation
                 )
                 running.task = self.supervisor.start(f"{self.name} send", self._run(running))
@@ -134,18 +136,18 @@
                     found.priority = priority
                     if found.posted:
                         self.supervisor.start(f"{self.name} priority", self._set_priority(found))
-            case ListingChanged(ready, restarted):
-                self.ready = ready
+            case EndpointListingChanged(ready, restarted):
+                self.is_ready = ready
                 self._incarnation += restarted
                 if restarted or not ready:
                     self._pool.clear()
 
     def _say(self, kind: str, text: str, running: RunningAttempt) -> None:
-        self.supervisor.log.say(
+        self.supervisor.log.write(
             kind,
             f"{self.name}: {text}",
-            engine=self.engine.decode(),
-            command=running.start.command,
+            engine=self.endpoint_id.decode(),
+            command=running.start.request_id,
             profile=running.start.profile,
         )
 
@@ -159,7 +161,7 @@
     async def _run(self, running: RunningAttempt) -> None:
         start = running.start
         try:
-            async with asyncio.timeout(max(0, start.ends_at - self._clock.now()) / US):
+            async with asyncio.timeout(max(0, start.deadline - self._clock.now()) / US):
                 await self._exchange(running)
         except TimeoutError:
             if running.posted:
@@ -170,7 +172,7 @@
                 self._pool.put_back(running.connection)
             # whatever went wrong: what has gone out may have run, the rest has not
             self._end(running, Outcome.RESET if running.posted else Outcome.MOOT)
-            self._running.pop((start.command, start.number), None)
+            self._running.pop((start.request_id, start.attempt), None)
 
     async def _exchange(self, running: RunningAttempt) -> None:
         start = running.start
@@ -186,25 +188,33 @@
             connection.close()
             return self._end(running, Outcome.MOOT)
         try:
-            left = start.ends_at - self._clock.now()
-            headers = http.start_headers(start.call, start.profile, left, start.mark, running.priority)
-            request = http.request("POST", "/x", self._pool.host, headers, start.statement)
+            left = start.deadline - self._clock.now()
+            headers = http.attempt_headers(
+                start.call_id, start.profile, left, start.idempotency_key, running.priority
+            )
+            request = http.encode_request("POST", "/x", self._pool.host, headers, start.statement)
         except Exception:
             connection.close()
             raise
         running.posted = True
         self.supervisor.counters.add("sends posted")
-        news_call = http.request("GET", f"/x/{start.call}/0", self._pool.host, {})
+        news_call = http.encode_request("GET", f"/x/{start.call_id}/0", self._pool.host, {})
         running.connection = connection
         while True:
-            news = await self._ask(running, request, news_call, http.query_news)
+            news = await self._ask(running, request, news_call, http.parse_attempt_status)
             if isinstance(news, Outcome):
                 return self._end(running, news)
             if running.ended or news.outcome is not None:
                 break
-            if news.note is not None:
+            if news.progress_kind is not None:
                 self._report(
-                    api.AttemptProgressed(start.command, start.number, self.engine, news.note, news.amount)
+                    api.AttemptProgressed(
+                        start.request_id,
+                        start.attempt,
+                        self.endpoint_id,
+                        news.progress_kind,
+                        news.progress_amount,
+                    )
                 )
             request = news_call
         if news.outcome is Outcome.ANSWERED and not running.ended:
@@ -216,16 +226,16 @@
         engine that drains, or that has restarted cold under the same address, and clients that have gone:
         also where the module may not cancel, for what never left is nothing to cancel. And requests whose
         time is over: the time-out around this comes only once something is waited for."""
-        if self._clock.now() >= running.start.ends_at:
+        if self._clock.now() >= running.start.deadline:
             return False
-        return self.ready and running.incarnation == self._incarnation and running.start.owed()
+        return self.is_ready and running.incarnation == self._incarnation and running.start.is_awaited()
 
     async def _ask(
         self,
         running: RunningAttempt,
         request: bytes,
         again: bytes,
-        read: Callable[[http.Answer], T | None],
+        read: Callable[[http.HttpResponse], T | None],
     ) -> T | Outcome:
         """What `read` makes of the answer. All calls for a query go over a connection of its own while that
         holds: what comes there belongs to this query, and pages tell their number. Asked for again on a new
@@ -242,15 +252,15 @@
             began = self._clock.now()
             try:
                 connection, running.connection = running.connection, None
-                if connection is not None and request is again and not connection.still_open():
+                if connection is not None and request is again and not connection.is_still_open():
                     connection.close()
                     connection = None
                 connection = connection or await self._pool.get(fresh=tries > 0)
-                answer = await self._pool.call_and_keep(connection, request, http.PATIENCE)
+                answer = await self._pool.call_and_keep(connection, request, http.CALL_TIMEOUT_US)
                 running.connection, running.heard = connection, True
                 if (found := read(answer)) is not None:
                     return found
-                if answer.status == http.ERROR:  # after a break: it knows of no such query
+                if answer.status == http.INTERNAL_SERVER_ERROR:  # after a break: it knows of no such query
                     return Outcome.RESET if tries else Outcome.ERROR
                 self.supervisor.counters.add("answers spoilt")
                 self._say("answer spoilt", f"status {answer.status}", running)
@@ -266,7 +276,7 @@
                 self._say("call broken", str(error), running)
                 if isinstance(error, CallSilentError):
                     usable = self._clock.now()
-            if self._clock.now() - usable >= http.FORGOTTEN_AFTER and not running.ended:
+            if self._clock.now() - usable >= http.ABANDONED_AFTER_US and not running.ended:
                 if self._copies:
                     self.supervisor.start(f"{self.name} delete", self._delete(running))
                 return await self._lost(running)
@@ -278,7 +288,7 @@
         up first: an engine that refuses a connection may live, and only have too many, and a query is out
         until its engine has been told, has not been asked for it for long enough, or has restarted. Costs up
         to that time before the command is sent again."""
-        forgotten = self._clock.now() + http.NEWS_WAIT + http.FORGOTTEN_AFTER
+        forgotten = self._clock.now() + http.STATUS_LONG_POLL_US + http.ABANDONED_AFTER_US
         pause = self._pool.connect_timeout
         while not self._copies and running.incarnation == self._incarnation and not running.ended:
             if (left := forgotten - self._clock.now()) <= 0 or await self._tell(self._farewell(running)):
@@ -286,18 +296,18 @@
             await asyncio.sleep(min(left, pause) / US)
         return Outcome.RESET
 
-    async def _collect(self, running: RunningAttempt, news: http.QueryNews) -> None:
+    async def _collect(self, running: RunningAttempt, news: http.AttemptStatus) -> None:
         """Answered means all pages: a page that is lost is an error of the send, which has run."""
         rows = bytearray(news.rows)
-        for number in range(1, news.pages):
-            request = http.request("GET", f"/x/{running.start.call}/{number}", self._pool.host, {})
-            read = partial(http.page_rows, number=number)
+        for number in range(1, news.page_count):
+            request = http.encode_request("GET", f"/x/{running.start.call_id}/{number}", self._pool.host, {})
+            read = partial(http.parse_page_rows, number=number)
             page = await self._ask(running, request, request, read)
             if isinstance(page, Outcome):
                 self.supervisor.counters.add("pages lost")
-                self._say("page lost", f"{number} of {news.pages}, {page.name}", running)
+                self._say("page lost", f"{number} of {news.page_count}, {page.name}", running)
                 return self._end(running, page)
-            if len(rows) + len(page) > http.RESULT_BYTES:
+            if len(rows) + len(page) > http.MAX_RESULT_BYTES:
                 return self._end(running, Outcome.ERROR)
             rows += page
         return self._end(running, Outcome.ANSWERED, news, bytes(rows))
@@ -306,7 +316,7 @@
         self,
         running: RunningAttempt,
         outcome: Outcome,
-        news: http.QueryNews | None = None,
+        news: http.AttemptStatus | None = None,
         rows: bytes | None = None,
     ) -> None:
         if running.ended:
@@ -315,7 +325,10 @@
         if running.cancelled and running.posted and outcome is not Outcome.ANSWERED:
             outcome = Outcome.CANCELLED
         start, work, memory = running.start, news.work if news else None, news.memory_mb if news else None
-        name, latency = (start.command, start.number, self.engine), self._clock.now() - start.at
+        name, latency = (
+            (start.request_id, start.attempt, self.endpoint_id),
+            self._clock.now() - start.started_at,
+        )
         self._report(AttemptFinished(*name, outcome, latency, work, memory, rows, running.heard))
 
     # Ending and changing sends: on connections of their own, never behind a call that waits for news
@@ -329,10 +342,10 @@
         elif running.task is not None:  # told here: a task that has not begun comes to no `finally`
             running.task.cancel()
             self._end(running, Outcome.MOOT)
-            self._running.pop((running.start.command, running.start.number), None)
+            self._running.pop((running.start.request_id, running.start.attempt), None)
 
     def _farewell(self, running: RunningAttempt) -> bytes:
-        return http.request("DELETE", f"/x/{running.start.call}", self._pool.host, {})
+        return http.encode_request("DELETE", f"/x/{running.start.call_id}", self._pool.host, {})
 
     async def _delete(self, running: RunningAttempt) -> None:
         told = False
@@ -344,13 +357,13 @@
 
     async def _set_priority(self, running: RunningAttempt) -> None:
         body = str(running.priority).encode()
-        await self._tell(http.request("PUT", f"/x/{running.start.call}", self._pool.host, {}, body))
+        await self._tell(http.encode_request("PUT", f"/x/{running.start.call_id}", self._pool.host, {}, body))
 
     async def _tell(self, request: bytes) -> bool:
         """Whether the engine has answered."""
         try:
             connection = await self._pool.get(ends_things=True, fresh=not self._copies)
-            await self._pool.call(connection, request, http.PATIENCE)
+            await self._pool.call(connection, request, http.CALL_TIMEOUT_US)
             return True
         except ConnectError:
             self.supervisor.counters.add("calls not connected")
--- a/lotusstream/net/endpoint_registry.py
+++ b/lotusstream/net/endpoint_registry.py
@@ -11,10 +11,10 @@
 
 from lotusstream import interface as api
 from lotusstream.net.connection import Address
-from lotusstream.net.endpoint import EndpointActor, ListingChanged
+from lotusstream.net.endpoint import EndpointActor, EndpointListingChanged
 from lotusstream.protocol.discovery import EndpointListUpdate, ListedEndpoint
 
-TIDIED_AT_ONCE = 8  # actors looked at in one go
+MAX_CLOSED_PER_EVALUATION = 8  # actors looked at in one go
 
 
 class EndpointRegistry:
@@ -30,23 +30,23 @@
     def __len__(self) -> int:
         return len(self.listed)
 
-    def differing(self, notice: EndpointListUpdate) -> list[ListedEndpoint]:
+    def changed_entries(self, notice: EndpointListUpdate) -> list[ListedEndpoint]:
         """What a list says anew, withdrawn endpoints first. An endpoint that a whole list leaves out is
         gone."""
-        changed = {each.engine.id: each for each in notice.listed if self.listed.get(each.engine.id) != each}
-        if notice.whole:
-            named = {each.engine.id for each in notice.listed}
+        changed = {each.entry.id: each for each in notice.endpoints if self.listed.get(each.entry.id) != each}
+        if notice.is_snapshot:
+            named = {each.entry.id for each in notice.endpoints}
             for engine, before in self.listed.items():
                 if engine not in named:
-                    changed[engine] = replace(before, engine=_gone(before.engine))
-        return sorted(changed.values(), key=lambda each: each.engine.status is api.EndpointStatus.READY)
+                    changed[engine] = replace(before, entry=_removed(before.entry))
+        return sorted(changed.values(), key=lambda each: each.entry.status is api.EndpointStatus.READY)
 
     def apply(self, listed: Iterable[ListedEndpoint]) -> None:
         for each in listed:
             self._apply(each)
 
     def _apply(self, listed: ListedEndpoint) -> None:
-        engine, entry = listed.engine.id, listed.engine
+        engine, entry = listed.entry.id, listed.entry
         before = self.listed.get(engine)
         if entry.status is api.EndpointStatus.REMOVED:
             self.listed.pop(engine, None)
@@ -55,9 +55,9 @@
         actor = self._actors.get(engine)
         if actor is None:
             return
-        moved = listed.endpoint is not None and listed.endpoint != actor.endpoint
-        restarted = moved or (before is not None and before.engine.started_at != entry.started_at)
-        actor.post(ListingChanged(entry.status is api.EndpointStatus.READY and not moved, restarted))
+        moved = listed.address is not None and listed.address != actor.address
+        restarted = moved or (before is not None and before.entry.started_at != entry.started_at)
+        actor.post(EndpointListingChanged(entry.status is api.EndpointStatus.READY and not moved, restarted))
         if moved or entry.status is api.EndpointStatus.REMOVED:
             self._retired[self._actors.pop(engine)] = None
 
@@ -66,36 +66,36 @@
         listed = self.listed.get(engine)
         actor = self._actors.pop(engine, None)
         if actor is None:
-            if listed is None or listed.endpoint is None:
+            if listed is None or listed.address is None:
                 return None
-            actor = self._make(engine, listed.endpoint)
-            actor.ready = listed.engine.status is api.EndpointStatus.READY
+            actor = self._make(engine, listed.address)
+            actor.is_ready = listed.entry.status is api.EndpointStatus.READY
             actor.start()
         self._actors[engine] = actor
         return actor
 
     def addresses(self) -> dict[api.EndpointId, str]:
         return {
-            engine: f"{listed.endpoint[0]}:{listed.endpoint[1]}"
+            engine: f"{listed.address[0]}:{listed.address[1]}"
             for engine, listed in self.listed.items()
-            if listed.endpoint is not None
+            if listed.address is not None
         }
 
-    def tidy(self, now: int) -> None:
+    def close_idle_actors(self, now: int) -> None:
         """Ends actors that are idle, or whose endpoint is gone, a few at a time."""
-        for actor in [actor for actor in self._retired if not actor.attempts_out]:
+        for actor in [actor for actor in self._retired if not actor.in_flight]:
             del self._retired[actor]
             actor.close()
-        for _ in range(min(TIDIED_AT_ONCE, len(self._actors))):
+        for _ in range(min(MAX_CLOSED_PER_EVALUATION, len(self._actors))):
             engine, actor = next(iter(self._actors.items()))
             if now - actor.used_at < self._idle_timeout:
                 return
             del self._actors[engine]
-            if actor.attempts_out:
+            if actor.in_flight:
                 self._actors[engine] = actor
             else:
                 actor.close()
 
 
-def _gone(entry: api.EndpointEntry) -> api.EndpointEntry:
+def _removed(entry: api.EndpointEntry) -> api.EndpointEntry:
     return replace(entry, status=api.EndpointStatus.REMOVED)
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -15,7 +15,7 @@
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
-from lotusstream.net.control import Refused
+from lotusstream.net.control import ControlRejectedError
 from lotusstream.net.decider import Decider
 from lotusstream.net.peers import Answer, PeerLimits, PeerLink, PeerServer
 from lotusstream.net.raft_node import RaftActor, RaftActorOptions, open_store
@@ -92,7 +92,7 @@
             self.tasks[task].begin(token)
 
     def _say(self, task: str, token: int, text: str) -> None:
-        self.supervisor.log.say("lease", f"{task}: {text}", "info", task=task, token=token)
+        self.supervisor.log.write("lease", f"{task}: {text}", "info", task=task, token=token)
 
     async def stop(self) -> None:
         await super().stop()
@@ -131,7 +131,7 @@
                 store = open_store(told.store)
             except DiskError as error:
                 store = None
-                supervisor.log.say("quorum", f"this keeper stands still: {error}", "error")
+                supervisor.log.write("quorum", f"this keeper stands still: {error}", "error")
             named = tuple(each.name for each in told.keepers)
             terms = RaftActorOptions(name, told.store, named, told.pace, told.leases, seed)
             self.keeper = RaftActor(terms, store, self._carry, supervisor)
@@ -270,7 +270,7 @@
     async def _look(self) -> dict[str, Any] | None:
         try:
             return (await self._question(wire.Look)).view
-        except Refused:
+        except ControlRejectedError:
             return None
 
     async def _put(self, key: str, version: int, value: str, token: int, task: str = COPIES) -> str:
@@ -278,7 +278,7 @@
         wish = Put(task, token, key, version, value)
         try:
             told = await self._question(lambda number: wire.Ask(number, wish))
-        except Refused as error:
+        except ControlRejectedError as error:
             return str(error)
         return "" if told.granted is not None and told.granted.done else (told.granted or told).why
 
@@ -314,27 +314,29 @@
     def held(self) -> dict[str, Any]:
         """What this gateway holds for others."""
         if self.copies is None:
-            raise Refused("absent", "this gateway is no holder: the operator file names none of its name")
+            raise ControlRejectedError(
+                "absent", "this gateway is no holder: the operator file names none of its name"
+            )
         return self.copies.view()
 
     async def drain(self, machine: str, undo: bool) -> dict[str, Any]:
-        """Raises Refused."""
+        """Raises ControlRejectedError."""
         if self._told.copies is None:
-            raise Refused("absent", "the operator file has no 'copies'")
+            raise ControlRejectedError("absent", "the operator file has no 'copies'")
         if machine not in (known := sorted({each.machine for each in self._told.holders})):
-            raise Refused(
+            raise ControlRejectedError(
                 "unknown", f"no machine '{machine}' in the operator file: it has {', '.join(known)}"
             )
         if self._manager is None or not self._manager.decides:
             agreed = (await self.quorum())["agreed"] or {"leases": ()}
             holder = next((row["holder"] for row in agreed["leases"] if row["task"] == COPIES), "")
-            raise Refused("busy", f"'{holder or 'nobody'}' decides on copies: ask there")
+            raise ControlRejectedError("busy", f"'{holder or 'nobody'}' decides on copies: ask there")
         return await self._manager.drain(machine, undo)
 
     # For operators
 
     async def _question(self, make: Any) -> wire.Told:
-        """Asks one keeper after the other for the leader's answer. Raises Refused."""
+        """Asks one keeper after the other for the leader's answer. Raises ControlRejectedError."""
         self._number -= 1  # those of the holder grow
         order, why = [each.name for each in self._told.keepers], "no keeper answers"
         for _ in range(len(order) + 2):
@@ -367,7 +369,7 @@
                 order.insert(0, told.leader)
             elif told.leader == name:
                 break
-        raise Refused("busy", why)
+        raise ControlRejectedError("busy", why)
 
     def peers(self) -> dict[str, Any]:
         callers = dict(self._server.callers) if self._server else {}
@@ -379,13 +381,13 @@
         try:
             view = (await self._question(wire.Look)).view
             return {"here": here, "agreed": view, "why": ""}
-        except Refused as error:
+        except ControlRejectedError as error:
             return {"here": here, "agreed": None, "why": str(error)}
 
     async def change(self, name: str, add: bool) -> dict[str, Any]:
         if add and self._told.keeper(name) is None:
             known = ", ".join(each.name for each in self._told.keepers)
-            raise Refused("unknown", f"no keeper '{name}' in the operator file: it has {known}")
+            raise ControlRejectedError("unknown", f"no keeper '{name}' in the operator file: it has {known}")
         await self._question(lambda number: wire.Alter(number, name, add))
         return await self.quorum()
 
@@ -409,7 +411,7 @@
         found = await self.leases()
         rows = {row["task"]: row for row in (found["agreed"] or {}).get("leases", [])}
         if task not in rows or not rows[task]["token"]:
-            raise Refused("unknown", f"nobody holds '{task}'")
+            raise ControlRejectedError("unknown", f"nobody holds '{task}'")
         if rows[task]["holder"] == self._name and task in self.holder.tasks:
             self.holder.post(hold.Unwant(task, heir))
             self.holder.post(hold.Want(task))
@@ -417,5 +419,5 @@
             wish = TakeBack(task, rows[task]["token"], heir)
             told = await self._question(lambda number: wire.Ask(number, wish))
             if told.granted is not None and not told.granted.done:
-                raise Refused("unknown", told.granted.why)
+                raise ControlRejectedError("unknown", told.granted.why)
         return await self.leases()
--- a/lotusstream/net/gateway.py
+++ b/lotusstream/net/gateway.py
@@ -15,12 +15,12 @@
 
 from lotusstream import interface as api
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.client import ClientConnection, ClientShare, Unread
-from lotusstream.net.clock import LAG_NOTICED, WATCH_PAUSE, Clock
+from lotusstream.net.client import ClientConnection, ClientConnectionLimiter, UnreadReplies
+from lotusstream.net.clock import LONG_TURN_US, LOOP_WATCH_INTERVAL_US, Clock
 from lotusstream.net.configuration import Configuration, ConfigurationError
 from lotusstream.net.connection import US, Address, SocketBudget
 from lotusstream.net.decider import Decider
-from lotusstream.net.discovery import EngineList, FollowList
+from lotusstream.net.discovery import DiscoveryActor, FollowDiscovery
 from lotusstream.protocol import front
 
 if TYPE_CHECKING:
@@ -28,13 +28,13 @@
     from lotusstream.operator.file import OperatorFile
 
 MS = 1000
-STAY = 700 * MS  # after a planned stop is told: what comes that late is not this gateway's any more
-COME_ON = 600 * MS  # and until then commands still come
-PAUSE = 0.01  # seconds
-LONGEST_WAIT = 3000 * MS  # that much of the longest client timeout is left after that
+MIN_DRAIN_US = 700 * MS  # after a planned stop is told: what comes that late is not this gateway's any more
+ARRIVAL_GRACE_US = 600 * MS  # and until then commands still come
+DRAIN_POLL_S = 0.01  # seconds
+MAX_CLIENT_WAIT_US = 3000 * MS  # that much of the longest client timeout is left after that
 # of accept: that one connection has failed already, or the call was interrupted; the next may be had at once.
 # All others (EMFILE, ENFILE, ENOBUFS, ENOMEM and what no page names) are of this machine: after a pause.
-PEERS_TROUBLE = (
+RETRYABLE_ACCEPT_ERRNOS = (
     errno.ECONNABORTED,
     errno.EINTR,
     errno.EPROTO,
@@ -44,8 +44,8 @@
     errno.ENETUNREACH,
     errno.ETIMEDOUT,
 )
-READ_TURNS = 3  # of the loop, from when a byte can be read until whoever waits for it goes on
-OWN = 16  # descriptors: the program's files, the loop's, the listener and the board
+READ_DELAY_TURN_COUNT = 3  # of the loop, from when a byte can be read until whoever waits for it goes on
+OWN_DESCRIPTOR_COUNT = 16  # descriptors: the program's files, the loop's, the listener and the board
 
 
 class GatewayServer:
@@ -57,12 +57,14 @@
         most_clients = most // 3 + self._spare
         self._parts = self._parts_of(operator)
         taken = self._parts.descriptors if self._parts else 0
-        self._budget = SocketBudget(most - most_clients - self._spare - OWN - taken)
-        self._share = ClientShare(most_clients, max(1, self._spare - 1), self._clock, self.supervisor)
-        self._unread = Unread(memory // 8)
+        self._budget = SocketBudget(most - most_clients - self._spare - OWN_DESCRIPTOR_COUNT - taken)
+        self._share = ClientConnectionLimiter(
+            most_clients, max(1, self._spare - 1), self._clock, self.supervisor
+        )
+        self._unread = UnreadReplies(memory // 8)
         beside = self._parts.beside if self._parts else None
         self._decider = Decider(deployment, self._budget, memory // 8, self._clock, self.supervisor, beside)
-        self._list = EngineList(deployment, self._clock, self._decider.post, self.supervisor)
+        self._list = DiscoveryActor(deployment, self._clock, self._decider.post, self.supervisor)
         self._listener: socket.socket | None = None
         self._tenants = self._parts.tenants if self._parts else None
         if self._parts is not None:
@@ -102,15 +104,15 @@
         self._announce()
         self._decider.start()
         self._list.start()
-        self._list.post(self._configuration.known)
-        self._list.post(FollowList(self._configuration.board))
+        self._list.post(self._configuration.initial_events)
+        self._list.post(FollowDiscovery(self._configuration.discovery_address))
         self._resume_accept(listener)
-        self.supervisor.keep("watch", self._watch)
+        self.supervisor.start_restarting("watch", self._watch)
 
     def _announce(self) -> None:
         address = f"{self.address[0]}:{self.address[1]}"
         if self.supervisor.log.structured:
-            self.supervisor.log.say("listening", f"on {address}", "info", address=address)
+            self.supervisor.log.write("listening", f"on {address}", "info", address=address)
         else:
             print(f"listening on {address}", file=sys.stderr, flush=True)
 
@@ -124,16 +126,26 @@
         now = self._configuration
         started = replace(new.deployment.started, seed=now.deployment.started.seed)
         deployment = replace(new.deployment, started=started)
-        if replace(new, board=now.board, known=now.known, deployment=deployment) != now:
+        if (
+            replace(
+                new,
+                discovery_address=now.discovery_address,
+                initial_events=now.initial_events,
+                deployment=deployment,
+            )
+            != now
+        ):
             raise ConfigurationError("configuration: only the board can change while running")
         self.supervisor.counters.add("reloads")
-        if new.board != now.board:
-            self._configuration = replace(now, board=new.board)
-            self.supervisor.log.say("reload", f"board at {new.board[0]}:{new.board[1]}")
-            self._list.post(FollowList(new.board))
+        if new.discovery_address != now.discovery_address:
+            self._configuration = replace(now, discovery_address=new.discovery_address)
+            self.supervisor.log.write(
+                "reload", f"board at {new.discovery_address[0]}:{new.discovery_address[1]}"
+            )
+            self._list.post(FollowDiscovery(new.discovery_address))
 
     def _good(self) -> bool:
-        return self._decider.listed and not self._share.stopping
+        return self._decider.has_endpoint_list and not self._share.stopping
 
     def _resume_accept(self, listener: socket.socket) -> None:
         if listener.fileno() >= 0:
@@ -148,12 +160,12 @@
                 return
             except OSError as error:
                 self.supervisor.counters.add("accepts failed")
-                if error.errno in PEERS_TROUBLE:
+                if error.errno in RETRYABLE_ACCEPT_ERRNOS:
                     continue
-                self.supervisor.log.say("accept", str(error))
+                self.supervisor.log.write("accept", str(error))
                 loop = asyncio.get_running_loop()
                 loop.remove_reader(listener)
-                loop.call_later(PAUSE, self._resume_accept, listener)
+                loop.call_later(DRAIN_POLL_S, self._resume_accept, listener)
                 return
             sock.setblocking(False)
             self._take_in(sock)
@@ -173,7 +185,7 @@
             self.supervisor,
             self._tenants,
         )
-        if self._share.enter(client):
+        if self._share.admit(client):
             self.supervisor.start("client", client.serve())
         else:
             sock.close()
@@ -182,23 +194,23 @@
         """The loop's longest stall, and what is overdue or idle. While turns of the loop are long each is
         marked: what is read at the end of one may have waited for all of it."""
         looked_at = self._clock.now()
-        turns = deque([looked_at] * READ_TURNS, maxlen=READ_TURNS)
+        turns = deque([looked_at] * READ_DELAY_TURN_COUNT, maxlen=READ_DELAY_TURN_COUNT)
         busy = False
-        self._clock.watched(None)
+        self._clock.record_loop_turn(None)
         while True:
-            pause = 0 if busy else WATCH_PAUSE
+            pause = 0 if busy else LOOP_WATCH_INTERVAL_US
             await asyncio.sleep(pause / US)
             now = self._clock.now()
             stall = now - turns[-1] - pause
-            busy = stall > LAG_NOTICED or (busy and now - turns[0] > LAG_NOTICED)
-            self._clock.watched(turns[0] if busy else None)
+            busy = stall > LONG_TURN_US or (busy and now - turns[0] > LONG_TURN_US)
+            self._clock.record_loop_turn(turns[0] if busy else None)
             turns.append(now)
             self.supervisor.counters.observe("stall of the loop, us", stall)
-            if now - looked_at >= WATCH_PAUSE:
+            if now - looked_at >= LOOP_WATCH_INTERVAL_US:
                 looked_at = now
                 self.supervisor.counters.peak("connections to engines", self._budget.used)
-                self._decider.look_after()
-                self._share.look_after()
+                self._decider.evaluate()
+                self._share.evaluate()
 
     async def drain(self) -> None:
         """A planned stop: takes what still comes, and returns once all is read and answered or time is up."""
@@ -207,13 +219,13 @@
             self._parts.leave()
         began = self._clock.now()
         longest = max(profile.client_timeout for profile in self._configuration.deployment.started.profiles)
-        by = began + min(longest, LONGEST_WAIT) + COME_ON
+        by = began + min(longest, MAX_CLIENT_WAIT_US) + ARRIVAL_GRACE_US
         self._decider.post(api.ShutdownStarted(by))
         while (now := self._clock.now()) < by:
-            owed = self._unread.total or self._share.asking() or self._knocks()
-            if now >= began + STAY and not owed:
+            owed = self._unread.total or self._share.has_open_work() or self._knocks()
+            if now >= began + MIN_DRAIN_US and not owed:
                 break
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def _knocks(self) -> bool:
         """A connection waits to be accepted."""
@@ -225,8 +237,8 @@
 
     def print_counters(self) -> None:
         if self.supervisor.log.structured:
-            told = self.supervisor.counters.told()
-            self.supervisor.log.say("counters", "on request or at the end", "info", **told)
+            told = self.supervisor.counters.as_mapping()
+            self.supervisor.log.write("counters", "on request or at the end", "info", **told)
             return
         print("\n".join([*self.supervisor.counters.lines(), "counters end"]), file=sys.stderr, flush=True)
 
@@ -235,9 +247,11 @@
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
         self._share.close_all()
-        by = self._clock.now() + front.CLOSE_CROSSED
-        while self._share.closing and self._clock.now() < by:  # until the clients have read all and closed
-            await asyncio.sleep(PAUSE)
+        by = self._clock.now() + front.CLOSE_RACE_US
+        while (
+            self._share.half_closed_count and self._clock.now() < by
+        ):  # until the clients have read all and closed
+            await asyncio.sleep(DRAIN_POLL_S)
         if self._parts is not None:
             await self._parts.stop()
         await self.supervisor.stop()
--- a/lotusstream/net/health_checks.py
+++ b/lotusstream/net/health_checks.py
@@ -49,7 +49,7 @@
         self._around, self._terms, self._connect = around, terms, connect_timeout
         self._decider, self._keepers, self._send = decider, keepers, send
         self._budget = SocketBudget(terms.most)
-        self._budget.kept_back = 0
+        self._budget.reserved = 0
         self._addresses: dict[api.EndpointId, Address] = {}
         self._examiner: ex.HealthChecker | None = None
         self._token = 0
@@ -88,7 +88,7 @@
         async with asyncio.timeout(LIST_WITHIN):
             view = await answer
         addresses = {}
-        for engine in view.believed.endpoints:
+        for engine in view.snapshot.endpoints:
             if engine.status is api.EndpointStatus.READY and (
                 address := view.addresses.get(engine.endpoint_id)
             ):
@@ -112,15 +112,15 @@
     async def _look(self, engine: api.EndpointId, endpoint: Address) -> None:
         """Any answer will do: it says that the process is there and talks, and no more."""
         host = f"{endpoint[0]}:{endpoint[1]}"
-        request = http.request("GET", f"/x/{NOBODYS}/0", host, {})
+        request = http.encode_request("GET", f"/x/{NOBODYS}/0", host, {})
         answers = sure = False
         self.supervisor.counters.add("engines examined")
         try:
             connection = await Connection.open(
-                endpoint, self._connect, self._budget, http.PAGE_BYTES, ends_things=False
+                endpoint, self._connect, self._budget, http.MAX_PAGE_BYTES, ends_things=False
             )
             try:
-                await connection.call(request, http.PATIENCE)
+                await connection.call(request, http.CALL_TIMEOUT_US)
                 answers = True
             finally:
                 connection.close()
@@ -177,7 +177,7 @@
 
     def start(self) -> None:
         super().start()
-        self.supervisor.keep("hearsay", self._time)
+        self.supervisor.start_restarting("hearsay", self._time)
 
     async def _time(self) -> None:
         while True:
@@ -195,7 +195,7 @@
                 case api.PeerHealthReported(engine, answers):
                     word = "answers again" if answers else "does not answer"
                     text = f"{engine.decode('latin-1')} {word}, as is heard"
-                    self.supervisor.log.say("hearsay", text, "debug", engine=engine.decode("latin-1"))
+                    self.supervisor.log.write("hearsay", text, "debug", engine=engine.decode("latin-1"))
                     self._decider.post(SubsystemEvent(action))
 
     def view(self) -> dict[str, Any]:
--- a/lotusstream/net/migrations.py
+++ b/lotusstream/net/migrations.py
@@ -56,13 +56,13 @@
             await asyncio.to_thread(self._log.append, *_encoded([message]))
         except DiskError as error:
             self.supervisor.counters.add("steps of moves not written")
-            self.supervisor.log.say("moves", str(error), "error", tenant=message.tenant)
+            self.supervisor.log.write("moves", str(error), "error", tenant=message.tenant)
             self._tell(MigrationNotPersisted(message, str(error)))
             return
         self.supervisor.counters.add(f"moves {message.step.value}")
         way = f"{message.source} -> {message.target}"
         text = f"{message.tenant}: {way}, {message.step.value} {message.why}".rstrip()
-        self.supervisor.log.say("moves", text, "info", tenant=message.tenant, step=message.step.value)
+        self.supervisor.log.write("moves", text, "info", tenant=message.tenant, step=message.step.value)
         self._tell(MigrationPersisted(message))
 
     def close(self) -> None:
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -18,9 +18,9 @@
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
-from lotusstream.net.control import ControlLimits, ControlServer, Refused
+from lotusstream.net.control import ControlLimits, ControlRejectedError, ControlServer
 from lotusstream.net.decider import Decider
-from lotusstream.net.decider_messages import OperatorView, RoundDue, SubsystemEvent, ViewRequested
+from lotusstream.net.decider_messages import BatchDue, OperatorView, SubsystemEvent, ViewRequested
 from lotusstream.observe.own import OwnUse, OwnUseReader
 from lotusstream.operator.file import OperatorFile
 from lotusstream.protocol import control as wire
@@ -71,7 +71,7 @@
             await asyncio.sleep(pause)
             stall = int((time.monotonic() - before - pause) * US)
             if keeper is None:
-                self._decider.post(RoundDue())
+                self._decider.post(BatchDue())
                 continue
             use = self._use()
             self._decider.post(SubsystemEvent(Health(use.core, use.memory, use.descriptors, max(0, stall))))
@@ -90,7 +90,7 @@
             self._supervisor.counters.add("level changes")
             worse = change.rung > 0 and change.cause in (Cause.SIGNALS, Cause.LOST_CORES)
             readings = {reading.signal: reading.written for reading in change.readings}
-            self._supervisor.log.say(
+            self._supervisor.log.write(
                 "level",
                 str(change),
                 "warning" if worse else "info",
@@ -128,7 +128,7 @@
             case wire.Commands(most):
                 return self._commands(await self._view(), most)
             case wire.CountersAsked():
-                return self._supervisor.counters.told()
+                return self._supervisor.counters.as_mapping()
             case wire.HoldLevel(level, span):
                 return await self._hold(Hold(level, span))
             case wire.ReleaseLevel():
@@ -153,11 +153,13 @@
                 return self._fleet_part().held()
             case wire.GiveUpLease(task, heir):
                 return await self._fleet_part().give_up(task, heir)
-        raise Refused("unknown", "no such request")
+        raise ControlRejectedError("unknown", "no such request")
 
     def _fleet_part(self) -> Fleet:
         if self.fleet is None:
-            raise Refused("absent", "the operator file has no fleet: add one, and start the gateway anew")
+            raise ControlRejectedError(
+                "absent", "the operator file has no fleet: add one, and start the gateway anew"
+            )
         return self.fleet
 
     async def _view(self) -> OperatorView:
@@ -166,10 +168,10 @@
         try:
             return await asyncio.wait_for(answer, ANSWER_WITHIN)
         except TimeoutError as error:
-            raise Refused("busy", "the decider does not answer in time") from error
+            raise ControlRejectedError("busy", "the decider does not answer in time") from error
 
     def _status(self, view: OperatorView) -> dict[str, Any]:
-        believed, now = view.believed, self._clock.now()
+        believed, now = view.snapshot, self._clock.now()
         ready = [engine for engine in believed.endpoints if engine.status is api.EndpointStatus.READY]
         usable = [engine for engine in ready if engine.ejected_until is None]
         return {
@@ -199,7 +201,9 @@
 
     def _levels(self, history: int) -> dict[str, Any]:
         if self._keeper is None:
-            raise Refused("absent", "the operator file has no ladder: add one, and start the gateway anew")
+            raise ControlRejectedError(
+                "absent", "the operator file has no ladder: add one, and start the gateway anew"
+            )
         now = self._clock.now()
         standing = self._keeper.standing(now)
         told = dataclasses.asdict(standing)
@@ -237,30 +241,32 @@
                 "aside_us": max(0, belief.ejected_until - view.now) if belief.ejected_until else None,
                 "cold_us": max(0, belief.slow_start_until - view.now) if belief.slow_start_until else None,
             }
-            for belief in view.believed.endpoints
+            for belief in view.snapshot.endpoints
         ]
 
     @staticmethod
     def _commands(view: OperatorView, most: int) -> dict[str, Any]:
-        oldest = sorted(view.commands, key=lambda command: command.age, reverse=True)
+        oldest = sorted(view.requests, key=lambda command: command.age, reverse=True)
         shown = [dataclasses.asdict(command) for command in oldest[: max(0, most)]]
-        return {"open": len(view.commands), "shown": shown}
+        return {"open": len(view.requests), "shown": shown}
 
     async def _hold(self, hold: Hold) -> dict[str, Any]:
         if self._keeper is None:
-            raise Refused("absent", "the operator file has no ladder: no level can be held")
+            raise ControlRejectedError("absent", "the operator file has no ladder: no level can be held")
         if (why := self._keeper.refuses(hold)) is not None:
-            raise Refused("unknown", why)
+            raise ControlRejectedError("unknown", why)
         return await self._by_hand(hold)
 
     async def _release(self) -> dict[str, Any]:
         if self._keeper is None or self._keeper.standing(self._clock.now()).held_until is None:
-            raise Refused("absent", "no level is held")
+            raise ControlRejectedError("absent", "no level is held")
         return await self._by_hand(Release())
 
     def _kept(self) -> CellController:
         if self._cells is None:
-            raise Refused("absent", "the operator file has no cells: add some, and start the gateway anew")
+            raise ControlRejectedError(
+                "absent", "the operator file has no cells: add some, and start the gateway anew"
+            )
         return self._cells
 
     def _cells_told(self, tenant: str | None) -> dict[str, Any]:
@@ -288,7 +294,7 @@
 
     async def _move(self, tenant: str, cell: str, dry_run: bool) -> dict[str, Any]:
         if (why := self._kept().refuses(self._clock.now(), tenant, cell)) is not None:
-            raise Refused("unknown", why)
+            raise ControlRejectedError("unknown", why)
         if not dry_run:
             self._decider.post(SubsystemEvent(MigrateTenant(tenant, cell, "by hand")))
             await self._view()
@@ -297,7 +303,7 @@
     async def _abort(self, tenant: str) -> dict[str, Any]:
         move = self._kept().moves.get(tenant)
         if move is None or move.step in IRREVERSIBLE_STEPS:
-            raise Refused("unknown", f"'{tenant}' is on no way that it could come back from")
+            raise ControlRejectedError("unknown", f"'{tenant}' is on no way that it could come back from")
         self._decider.post(SubsystemEvent(AbortMigration(tenant, "by hand")))
         await self._view()
         return self._cells_told(tenant)
--- a/lotusstream/net/peers.py
+++ b/lotusstream/net/peers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.buffer import Buffer, BufferFull
+from lotusstream.net.buffer import Buffer, BufferFullError
 from lotusstream.net.connection import US, Address
 from lotusstream.protocol import peers as wire
 
@@ -83,7 +83,7 @@
         while (found := wire.take(self._buffer.data())) is None:
             try:
                 count = await loop.sock_recv_into(self._sock, self._buffer.space())
-            except BufferFull as error:
+            except BufferFullError as error:
                 raise wire.PeerProtocolError(str(error)) from error
             if not count:
                 return None
@@ -153,7 +153,7 @@
         except OSError:
             self._listener.close()
             raise
-        self._supervisor.keep("peers", self._accept)
+        self._supervisor.start_restarting("peers", self._accept)
 
     async def _accept(self) -> None:
         loop = asyncio.get_running_loop()
@@ -179,7 +179,7 @@
         except ENDS as error:
             self._supervisor.counters.add("peers that broke off")
             if isinstance(error, wire.PeerProtocolError):
-                self._supervisor.log.say("peers", f"{name or 'a stranger'}: {error}", peer=name)
+                self._supervisor.log.write("peers", f"{name or 'a stranger'}: {error}", peer=name)
         finally:
             self._open -= 1
             if name:
@@ -224,7 +224,7 @@
         self.connected, self.why = False, "nothing was to be told yet"
 
     def start(self) -> None:
-        self._supervisor.keep(f"link to {self.name}", self._run)
+        self._supervisor.start_restarting(f"link to {self.name}", self._run)
 
     def put(self, frame: wire.AnyFrame) -> None:
         if self._line is not None:
@@ -243,7 +243,7 @@
             except ENDS as error:
                 self.why = str(error) or type(error).__name__
                 if isinstance(error, wire.PeerProtocolError):
-                    self._supervisor.log.say("peers", f"{self.name}: {error}", peer=self.name)
+                    self._supervisor.log.write("peers", f"{self.name}: {error}", peer=self.name)
             finally:
                 self.connected, self._line = False, None
             self.tries += 1
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -204,7 +204,7 @@
     def _trouble(self, why: str) -> None:
         self.trouble = why
         self.supervisor.counters.add("quorum disk failures")
-        self.supervisor.log.say("quorum", f"this keeper stands still: {why}", "error", why=why)
+        self.supervisor.log.write("quorum", f"this keeper stands still: {why}", "error", why=why)
         asyncio.get_running_loop().call_later(AGAIN, self.post, _Open())
 
     # What the desk wants
@@ -223,13 +223,15 @@
                 case ev.Became(role, term, leader, why):
                     self.supervisor.counters.add(f"quorum became {role}")
                     text = f"{role} in term {term}" + (f", {leader} leads" if leader else "") + f": {why}"
-                    log.say(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
+                    log.write(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
                 case ev.NewMembers(index, members):
                     names = [f"{each.name}{'' if each.voter else ' (learner)'}" for each in members]
-                    log.say("keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names)
+                    log.write(
+                        "keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names
+                    )
                 case Passed(_, granted):
                     who = f"{granted.holder}, token {granted.token}" if granted.token else "nobody"
-                    log.say(
+                    log.write(
                         "lease", f"{granted.task}: held by {who}", "info",
                         task=granted.task, holder=granted.holder, token=granted.token,
                     )  # fmt: skip
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.client import TenantOf
+from lotusstream.net.client import TenantLookup
 from lotusstream.net.clock import Clock
 from lotusstream.net.configuration import Configuration, ConfigurationError
 from lotusstream.net.decider import Decider, DecisionModule
@@ -96,7 +96,7 @@
             log = Log(path).open()
             return log, "", read_moves(log, path, self.around.clock.now())
         except DiskError as error:
-            self.around.supervisor.log.say("moves", f"none can be made: {error}", "error")
+            self.around.supervisor.log.write("moves", f"none can be made: {error}", "error")
             return None, str(error), moves
 
     def _tell(self, event: object) -> None:
@@ -107,10 +107,12 @@
         from lotusstream.cells.controller import CellAdmission
 
         log = self.around.supervisor.log
-        return CellAdmission(module.handle, self.keeper, self.writer.post, lambda why: log.say("moves", why))
+        return CellAdmission(
+            module.handle, self.keeper, self.writer.post, lambda why: log.write("moves", why)
+        )
 
     @property
-    def tenants(self) -> TenantOf:
+    def tenants(self) -> TenantLookup:
         from lotusstream.cells.tenant_lookup import lookup_tenant
         from lotusstream.protocol.tables import schema_name
 
@@ -240,7 +242,7 @@
             except Exception as error:
                 raise ConfigurationError(f"control: {error}") from error
         if self.operated.ticks:
-            self.around.supervisor.keep("levels", self.operated.feed)
+            self.around.supervisor.start_restarting("levels", self.operated.feed)
 
     async def stop(self) -> None:
         if self._server is not None:
@@ -271,7 +273,7 @@
             raise ConfigurationError(f"fleet: {what}; lower 'peers-most'")
 
     @property
-    def tenants(self) -> TenantOf | None:
+    def tenants(self) -> TenantLookup | None:
         return self.cells.tenants if self.cells else None
 
     def beside(self, module: DecisionModule) -> DecisionModule:
@@ -311,7 +313,7 @@
                 raise OperatorFileError.alone(new.path, f"can't change while running: {', '.join(fixed)}")
         except OperatorFileError as error:  # what was in force stays
             counters.add("operator files refused")
-            log.say("operator", f"not taken: {'; '.join(map(str, error.problems))}", "error")
+            log.write("operator", f"not taken: {'; '.join(map(str, error.problems))}", "error")
             return
         counters.add("operator files read again")
         if new.log is not None and new.log != operated.file.log:
@@ -321,4 +323,4 @@
         operated.reload(new)
         if self.fleet is not None:
             self.fleet.anew(new)
-        log.say("operator", f"{new.path} was read again", "info")
+        log.write("operator", f"{new.path} was read again", "info")
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -52,7 +52,7 @@
 
     async def _agree(self, token: int) -> None:
         while (why := await self._around.agree(PLAN, token, MOVES)) and self._around.may_act() == token:
-            self._around.supervisor.log.say("plan", f"no moves are begun here: {why}", reason=why)
+            self._around.supervisor.log.write("plan", f"no moves are begun here: {why}", reason=why)
             await asyncio.sleep(PAUSE)
         if self._around.may_act() == token:
             self._around.tell_decider(SubsystemEvent(MigrationLeaseChanged(token)))
--- a/lotusstream/observe/log.py
+++ b/lotusstream/observe/log.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from lotusstream.log import Writer
+from lotusstream.log import LogWriter
 
 LONGEST_VALUE = 4000  # characters: a traceback is kept, a flood in one field is not
 
@@ -42,7 +42,7 @@
     return structlog.dev.ConsoleRenderer(columns=columns)
 
 
-def structured(form: str, threshold: str, gateway: str, stream: TextIO | None = None) -> Writer:
+def structured(form: str, threshold: str, gateway: str, stream: TextIO | None = None) -> LogWriter:
     """`form`: console or json. `threshold`: the least severity that is written."""
     target = stream or sys.stderr
     renderer: structlog.typing.Processor
--- a/lotusstream/protocol/discovery.py
+++ b/lotusstream/protocol/discovery.py
@@ -11,12 +11,12 @@
 from lotusstream import interface as api
 from lotusstream.deployment import Deployment
 
-STATES = {
+STATUS_BY_STATE = {
     "ready": api.EndpointStatus.READY,
     "draining": api.EndpointStatus.DRAINING,
     "gone": api.EndpointStatus.REMOVED,
 }
-UNKNOWN_KIND = 2**16 - 1
+UNKNOWN_KIND_INDEX = 2**16 - 1
 
 
 class DiscoveryFormatError(Exception):
@@ -25,32 +25,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    engine: api.EndpointEntry
-    endpoint: tuple[str, int] | None
+    entry: api.EndpointEntry
+    address: tuple[str, int] | None
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    rev: int
-    whole: bool
-    listed: tuple[ListedEndpoint, ...]
-    unreadable: int
+    revision: int
+    is_snapshot: bool
+    endpoints: tuple[ListedEndpoint, ...]
+    unreadable_count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Notices:
-    rev: int
-    notices: tuple[EndpointListUpdate, ...]
+class WatchEvents:
+    revision: int
+    updates: tuple[EndpointListUpdate, ...]
 
 
-def folded(events: Sequence[EndpointListUpdate]) -> EndpointListUpdate:
+def merge_updates(events: Sequence[EndpointListUpdate]) -> EndpointListUpdate:
     """Events that came together as one with the same end: the last whole list, and the latest word on each
     engine. Guards engines that a later event of the same answer still lists against being dropped in between,
     with their connections and with what was learnt of them. `events` are in their order, at least one."""
-    begins = max((at for at, event in enumerate(events) if event.whole), default=0)
-    latest = {listed.engine.id: listed for event in events[begins:] for listed in event.listed}
-    unreadable = sum(event.unreadable for event in events)
-    return EndpointListUpdate(events[-1].rev, events[begins].whole, tuple(latest.values()), unreadable)
+    begins = max((at for at, event in enumerate(events) if event.is_snapshot), default=0)
+    latest = {listed.entry.id: listed for event in events[begins:] for listed in event.endpoints}
+    unreadable = sum(event.unreadable_count for event in events)
+    return EndpointListUpdate(
+        events[-1].revision, events[begins].is_snapshot, tuple(latest.values()), unreadable
+    )
 
 
 def parse_endpoint(text: Any) -> tuple[str, int] | None:
@@ -68,7 +70,7 @@
     if not isinstance(raw, dict) or not isinstance(uid := raw.get("uid"), str) or not uid:
         return None
     endpoint, boot, cell = parse_endpoint(raw.get("endpoint")), raw.get("boot_ms"), raw.get("pod_group")
-    state = STATES.get(str(raw.get("state")), api.EndpointStatus.DRAINING)
+    state = STATUS_BY_STATE.get(str(raw.get("state")), api.EndpointStatus.DRAINING)
     if endpoint is None and state is api.EndpointStatus.READY:
         state = api.EndpointStatus.DRAINING
     zone, kind = raw.get("az"), raw.get("model")
@@ -77,13 +79,13 @@
         status=state,
         zone=deployment.zones.index(zone) if zone in deployment.zones else -1,
         cell=cell if isinstance(cell, int) else -1,
-        kind=deployment.kinds.index(kind) if kind in deployment.kinds else UNKNOWN_KIND,
+        kind=deployment.kinds.index(kind) if kind in deployment.kinds else UNKNOWN_KIND_INDEX,
         started_at=int(boot * 1000) if isinstance(boot, int | float) and 0 < boot < 2**50 else 0,
     )
     return ListedEndpoint(engine, endpoint)
 
 
-def read_notices(raw: Any, deployment: Deployment) -> Notices:
+def decode_watch_events(raw: Any, deployment: Deployment) -> WatchEvents:
     try:
         rev, found = raw["rev"], []
         for item in raw["notices"]:
@@ -93,16 +95,16 @@
             found.append(
                 EndpointListUpdate(item["rev"], bool(pool.get("all")), listed, len(entries) - len(listed))
             )
-        if not isinstance(rev, int) or not all(isinstance(notice.rev, int) for notice in found):
+        if not isinstance(rev, int) or not all(isinstance(notice.revision, int) for notice in found):
             raise DiscoveryFormatError("a number is not one")
     except (KeyError, TypeError, AttributeError) as error:
         raise DiscoveryFormatError(repr(error)) from error
-    return Notices(rev, tuple(found))
+    return WatchEvents(rev, tuple(found))
 
 
-def parse_notices(body: bytes, deployment: Deployment) -> Notices:
+def parse_watch_events(body: bytes, deployment: Deployment) -> WatchEvents:
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise DiscoveryFormatError(repr(error)) from error
-    return read_notices(raw, deployment)
+    return decode_watch_events(raw, deployment)
--- a/lotusstream/protocol/front.py
+++ b/lotusstream/protocol/front.py
@@ -16,13 +16,13 @@
 from lotusstream.interface import Idempotency
 
 FRAME = struct.Struct("!i")
-LONGEST_FRAME = 256 << 10
-MOST_FIELDS = 256
-MOST_OPEN = 32  # on one connection
+MAX_FRAME_BYTES = 256 << 10
+MAX_FIELD_COUNT = 256
+MAX_OPEN_REQUEST_COUNT = 32  # on one connection
 MS = 1000
-IDLE_KEPT = 4000 * MS  # clients close what has been idle for that long
-CLOSE_CROSSED = 50 * MS  # a command that comes within that time after a close is sent again elsewhere
-WORD_OWED = 3000 * MS  # from the connect, to whoever has sent nothing that can be used
+CLIENT_IDLE_TIMEOUT_US = 4000 * MS  # clients close what has been idle for that long
+CLOSE_RACE_US = 50 * MS  # a command that comes within that time after a close is sent again elsewhere
+FIRST_MESSAGE_TIMEOUT_US = 3000 * MS  # from the connect, to whoever has sent nothing that can be used
 
 _CALL = re.compile(r"[0-9a-f]{16}\Z")
 _HEADER_VALUE = re.compile(r"[\x21-\x7e]{1,256}\Z")
@@ -46,19 +46,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Process:
+class ProcessRequest:
     seqid: int
     fields: dict[str, str]
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class CancelRequest:
     seqid: int  # of the command that is given up
 
 
 @dataclass(frozen=True, slots=True)
-class FrontProbe:
+class HealthProbe:
     seqid: int
 
 
@@ -67,10 +67,10 @@
     """What a client says of its command, in this project's units."""
 
     profile: int
-    call: str
+    call_id: str
     time_left: int
-    mark: str | None
-    hint: int | None
+    idempotency_key: str | None
+    work_hint: int | None
     memory_mb: float | None
 
 
@@ -79,7 +79,7 @@
     if len(data) < FRAME.size:
         return None
     (length,) = FRAME.unpack_from(data)
-    if not 0 < length <= LONGEST_FRAME:
+    if not 0 < length <= MAX_FRAME_BYTES:
         raise FrameError(f"a frame of {length} bytes")
     return int(length)
 
@@ -109,7 +109,7 @@
         TMemoryBuffer(frame),
         strictRead=True,
         string_length_limit=len(frame),
-        container_length_limit=MOST_FIELDS,
+        container_length_limit=MAX_FIELD_COUNT,
     )
 
 
@@ -131,7 +131,7 @@
             protocol.skip(kind)
 
 
-def decode(frame: bytes) -> Process | GiveUp | FrontProbe:
+def decode(frame: bytes) -> ProcessRequest | CancelRequest | HealthProbe:
     protocol = _reader(frame)
     try:
         method, kind, seqid = protocol.readMessageBegin()
@@ -145,10 +145,10 @@
     try:
         values = _arguments(protocol, _ARGUMENTS[method])
         if method == "probe":
-            return FrontProbe(seqid)
+            return HealthProbe(seqid)
         if method == "giveUp":
-            return GiveUp(values[1])
-        return Process(seqid, values[1], values[2])
+            return CancelRequest(values[1])
+        return ProcessRequest(seqid, values[1], values[2])
     except Exception as error:  # as above
         why, fault = f"unusable: {error!r}", TApplicationException.PROTOCOL_ERROR
         raise MessageFormatError(method, seqid, fault, why, answered=kind == TMessageType.CALL) from error
@@ -162,7 +162,7 @@
     return float(fields[name])
 
 
-def command_fields(fields: dict[str, str], deployment: Deployment) -> RequestFields:
+def parse_request_fields(fields: dict[str, str], deployment: Deployment) -> RequestFields:
     profile, call, mark = fields.get("op"), fields.get("call", ""), fields.get("dedupe")
     if profile not in deployment.profiles:
         raise RequestFormatError("op names no profile")
@@ -178,10 +178,10 @@
         raise RequestFormatError("ttl is missing")
     return RequestFields(
         profile=index,
-        call=call,
+        call_id=call,
         time_left=int(ttl * MS),
-        mark=mark,
-        hint=int(work * MS) if work else None,
+        idempotency_key=mark,
+        work_hint=int(work * MS) if work else None,
         memory_mb=_number(fields, "mem") or None,
     )
 
@@ -227,7 +227,7 @@
     return _frame(protocol)
 
 
-def encode_shed(seqid: int, come_back_after: int) -> bytes:
+def encode_rejection(seqid: int, come_back_after: int) -> bytes:
     return _encode_declared(seqid, 1, {"pushback": str(come_back_after // MS)} if come_back_after else {})
 
 
@@ -241,13 +241,13 @@
     return _frame(protocol)
 
 
-def encode_probe(seqid: int) -> bytes:
+def encode_health_probe(seqid: int) -> bytes:
     protocol = _message("probe", TMessageType.CALL, seqid)
     protocol.writeFieldStop()
     return _frame(protocol)
 
 
-def decode_probe_answer(frame: bytes) -> bool:
+def decode_health_probe_reply(frame: bytes) -> bool:
     protocol = _reader(frame)
     try:
         _, kind, _ = protocol.readMessageBegin()
--- a/tests/golden/golden_clients.py
+++ b/tests/golden/golden_clients.py
@@ -63,11 +63,11 @@
     return {
         "answer": front.encode_answer("process", 7, b"a\tb\tc\n", True),
         "probe-answer": front.encode_answer("probe", 9, b"", False),
-        "shed": front.encode_shed(7, 500_000),
-        "shed-at-once": front.encode_shed(7, 0),
+        "shed": front.encode_rejection(7, 500_000),
+        "shed-at-once": front.encode_rejection(7, 0),
         "failure": front.encode_failure(7, "no endpoint would answer in time"),
         "fault": front.encode_fault("nothing", 10, TApplicationException.UNKNOWN_METHOD, "unknown method"),
-        "probe": front.encode_probe(9),
+        "probe": front.encode_health_probe(9),
     }
 
 
--- a/tests/golden/test_golden_clients.py
+++ b/tests/golden/test_golden_clients.py
@@ -28,19 +28,19 @@
 
 def test_requests_of_clients_are_understood() -> None:
     golden = read_bytes("client_requests")
-    assert front.decode(golden["process"]) == front.Process(7, FIELDS, b"SELECT a FROM sales_3.t")
-    assert front.decode(golden["give-up"]) == front.GiveUp(7)
-    assert front.decode(golden["probe"]) == front.FrontProbe(9)
+    assert front.decode(golden["process"]) == front.ProcessRequest(7, FIELDS, b"SELECT a FROM sales_3.t")
+    assert front.decode(golden["give-up"]) == front.CancelRequest(7)
+    assert front.decode(golden["probe"]) == front.HealthProbe(9)
 
 
 def test_answers_to_probes_are_understood() -> None:
-    assert front.decode_probe_answer(read_bytes("client_requests")["probe-answer"])
+    assert front.decode_health_probe_reply(read_bytes("client_requests")["probe-answer"])
     not_ready = read_bytes("client_answers")["probe-answer"]
-    assert not front.decode_probe_answer(not_ready[front.FRAME.size :])
+    assert not front.decode_health_probe_reply(not_ready[front.FRAME.size :])
 
 
 def test_fields_of_a_request_are_understood() -> None:
-    fields = front.command_fields(FIELDS, read_settings(1, settings()))
+    fields = front.parse_request_fields(FIELDS, read_settings(1, settings()))
     assert fields == front.RequestFields(1, "00000000000000aa", 6_000_000, "m" * 32, 20_500, 96.0)
 
 
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -9,8 +9,8 @@
 from lotusstream.protocol import http
 
 HOST, CALL = "127.0.0.1:7000", "/x/00000000000000aa"
-START = http.start_headers("00000000000000aa", "load", 5_999_999, "m" * 8, 3)
-PLAIN_START = http.start_headers("00000000000000aa", "lookup", 10, None, None)
+START = http.attempt_headers("00000000000000aa", "load", 5_999_999, "m" * 8, 3)
+PLAIN_START = http.attempt_headers("00000000000000aa", "lookup", 10, None, None)
 REQUESTS = {
     "start": ("POST", "/x", HOST, START, b"SELECT a FROM sales_3.t"),
     "start-plain": ("POST", "/x", HOST, PLAIN_START, b""),
@@ -21,16 +21,16 @@
 }
 ROWS = b"a\tb\tc\n"
 ANSWERS = {
-    "answered": http.QueryNews(Outcome.ANSWERED, None, 0.0, 2, ROWS, 80_500, 100.25),
-    "answered-plain": http.QueryNews(Outcome.ANSWERED, None, 0.0, 1, ROWS, None, None),
-    "progress": http.QueryNews(None, ProgressKind.PROGRESS, 0.5),
-    "spills": http.QueryNews(None, ProgressKind.SPILLS, 12.0),
-    "waits-for-memory": http.QueryNews(None, ProgressKind.WAITS_FOR_MEMORY, 1.0),
-    "waits-for-load": http.QueryNews(None, ProgressKind.WAITS_FOR_LOAD, 2.0),
-    "waits-for-what": http.QueryNews(None, None, 0.0),
-    "pending": http.QueryNews(None, None, 0.0),
-    "full": http.QueryNews(Outcome.FULL),
-    "moot": http.QueryNews(Outcome.MOOT),
+    "answered": http.AttemptStatus(Outcome.ANSWERED, None, 0.0, 2, ROWS, 80_500, 100.25),
+    "answered-plain": http.AttemptStatus(Outcome.ANSWERED, None, 0.0, 1, ROWS, None, None),
+    "progress": http.AttemptStatus(None, ProgressKind.PROGRESS, 0.5),
+    "spills": http.AttemptStatus(None, ProgressKind.SPILLS, 12.0),
+    "waits-for-memory": http.AttemptStatus(None, ProgressKind.WAITS_FOR_MEMORY, 1.0),
+    "waits-for-load": http.AttemptStatus(None, ProgressKind.WAITS_FOR_LOAD, 2.0),
+    "waits-for-what": http.AttemptStatus(None, None, 0.0),
+    "pending": http.AttemptStatus(None, None, 0.0),
+    "full": http.AttemptStatus(Outcome.FULL),
+    "moot": http.AttemptStatus(Outcome.MOOT),
     "error": None,
     "unavailable": None,
     "spoilt-rows": None,
@@ -39,27 +39,27 @@
 
 @pytest.mark.parametrize("name", REQUESTS)
 def test_a_request_keeps_its_bytes(name: str) -> None:
-    assert http.request(*REQUESTS[name]).decode() == read_bytes("http_requests")[name].decode()
+    assert http.encode_request(*REQUESTS[name]).decode() == read_bytes("http_requests")[name].decode()
 
 
-def read_answer(data: bytes) -> http.Answer:
-    reader = http.AnswerReader(http.PAGE_BYTES)
+def read_answer(data: bytes) -> http.HttpResponse:
+    reader = http.HttpResponseReader(http.MAX_PAGE_BYTES)
     reader.feed(memoryview(data))
-    assert reader.answer is not None
-    return reader.answer
+    assert reader.response is not None
+    return reader.response
 
 
 @pytest.mark.parametrize("name", ANSWERS)
 def test_an_answer_keeps_its_meaning(name: str) -> None:
     """The answers are hand-made: they stand in a folder of their own, a file each."""
     data = (DATA / "http_answers" / f"{name}.http").read_bytes()
-    assert http.query_news(read_answer(data)) == ANSWERS[name]
+    assert http.parse_attempt_status(read_answer(data)) == ANSWERS[name]
 
 
 def test_an_answer_is_read_with_its_head_and_body() -> None:
     data = (DATA / "http_answers" / "answered-plain.http").read_bytes()
     headers = {"result-pages": "1", "content-length": "6"}
-    assert read_answer(data) == http.Answer(200, headers, ROWS, True, False)
-    assert read_answer(data + b"HTTP/1.1 200 OK\r\n") == http.Answer(200, headers, ROWS, False, False)
-    assert http.page_rows(read_answer(data), 0) == ROWS
-    assert http.page_rows(read_answer(data), 1) is None
+    assert read_answer(data) == http.HttpResponse(200, headers, ROWS, True, False)
+    assert read_answer(data + b"HTTP/1.1 200 OK\r\n") == http.HttpResponse(200, headers, ROWS, False, False)
+    assert http.parse_page_rows(read_answer(data), 0) == ROWS
+    assert http.parse_page_rows(read_answer(data), 1) is None
--- a/tests/golden/test_golden_notices.py
+++ b/tests/golden/test_golden_notices.py
@@ -29,12 +29,16 @@
     snapshot = discovery.EndpointListUpdate(11, True, (READY, DRAINING), 2)
     delta = discovery.EndpointListUpdate(12, False, (GONE, WITHOUT_ADDRESS, UNKNOWN_STATE), 0)
     empty = discovery.EndpointListUpdate(13, False, (), 0)
-    assert discovery.parse_notices(body, DEPLOYMENT) == discovery.Notices(13, (snapshot, delta, empty))
+    assert discovery.parse_watch_events(body, DEPLOYMENT) == discovery.WatchEvents(
+        13, (snapshot, delta, empty)
+    )
     listed = (READY, DRAINING, GONE, WITHOUT_ADDRESS, UNKNOWN_STATE)
-    assert discovery.folded((snapshot, delta, empty)) == discovery.EndpointListUpdate(13, True, listed, 2)
+    assert discovery.merge_updates((snapshot, delta, empty)) == discovery.EndpointListUpdate(
+        13, True, listed, 2
+    )
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"rev": "1", "notices": []}', b'{"rev": 1}'])
 def test_what_is_no_poll_is_unreadable(body: bytes) -> None:
     with pytest.raises(discovery.DiscoveryFormatError):
-        discovery.parse_notices(body, DEPLOYMENT)
+        discovery.parse_watch_events(body, DEPLOYMENT)
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -36,18 +36,18 @@
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.client import (
     ClientConnection,
+    ClientConnectionLimiter,
     ClientReply,
-    ClientShare,
     ReceivedRequest,
     RequestAbandoned,
-    Unread,
+    UnreadReplies,
 )
 from lotusstream.net.clock import Clock
 from lotusstream.net.configuration import Configuration, read_configuration
 from lotusstream.net.connection import Connection, ConnectionPool, SocketBudget
 from lotusstream.net.decider import Decider
-from lotusstream.net.discovery import EngineList
-from lotusstream.net.endpoint import AbortAttempt, EndpointActor, ListingChanged, RunAttempt
+from lotusstream.net.discovery import DiscoveryActor
+from lotusstream.net.endpoint import AbortAttempt, EndpointActor, EndpointListingChanged, RunAttempt
 from lotusstream.net.gateway import GatewayServer
 from lotusstream.protocol import discovery, front, http
 
@@ -110,12 +110,12 @@
     actor.start()
     for number in range(2):
         actor.post(start_send(number, clock))
-        ended = await told.until(lambda fact, number=number: fact.number == number)
+        ended = await told.until(lambda fact, number=number: fact.attempt == number)
         assert ended.rows == f"{number:016x}\t\t\n".encode()
     assert engine_side.connections == 2  # the first had rested too little to carry another
-    clock.at += http.ECHO
+    clock.at += http.DUPLICATE_RESPONSE_DELAY_US
     actor.post(start_send(2, clock))
-    await told.until(lambda fact: fact.number == 2)
+    await told.until(lambda fact: fact.attempt == 2)
     assert engine_side.connections == 2
     await supervisor.stop()
 
@@ -129,10 +129,10 @@
     actor = EndpointActor(b"s-1", endpoint, SocketBudget(8), 250 * MS, 30 * S, clock, told.add, supervisor)
     actor.start()
     actor.post(start_send(0, clock))
-    await told.until(lambda fact: fact.number == 0)
-    clock.at += http.ECHO
-    actor.post(replace(start_send(1, clock), ends_at=clock.at))
-    ended = await told.until(lambda fact: fact.number == 1)
+    await told.until(lambda fact: fact.attempt == 0)
+    clock.at += http.DUPLICATE_RESPONSE_DELAY_US
+    actor.post(replace(start_send(1, clock), deadline=clock.at))
+    ended = await told.until(lambda fact: fact.attempt == 1)
     assert ended.outcome is api.Outcome.MOOT and len(stand_in.posts()) == 1
     await supervisor.stop()
     stand_in.die()
@@ -178,13 +178,13 @@
 async def test_a_send_meant_for_an_engine_before_its_restart_does_not_reach_the_cold_one(
     waiting: Any,
 ) -> None:
-    waiting.actor.post(ListingChanged(ready=True, restarted=True))
+    waiting.actor.post(EndpointListingChanged(is_ready=True, restarted=True))
     await heard(waiting.actor)
     waiting.up.set()
     ended = await waiting.told.until(lambda fact: True)
     assert ended.outcome is api.Outcome.MOOT and not waiting.stand_in.calls.items
     waiting.actor.post(start_send(1, Clock()))  # decided with the restart known
-    assert (await waiting.told.until(lambda fact: fact.number == 1)).outcome is api.Outcome.ANSWERED
+    assert (await waiting.told.until(lambda fact: fact.attempt == 1)).outcome is api.Outcome.ANSWERED
 
 
 async def test_what_was_cancelled_before_its_first_byte_surely_never_ran(waiting: Any) -> None:
@@ -195,7 +195,7 @@
 
 async def test_what_ran_out_of_time_before_its_first_byte_surely_never_ran(waiting: Any) -> None:
     waiting.actor.post(start_send(1, Clock(), left=20 * MS))
-    ended = await waiting.told.until(lambda fact: fact.number == 1)
+    ended = await waiting.told.until(lambda fact: fact.attempt == 1)
     assert ended.outcome in api.PROVES_NOT_EXECUTED and not waiting.stand_in.calls.items
 
 
@@ -228,14 +228,14 @@
 
 
 async def test_where_no_two_sends_may_be_out_a_query_not_asked_for_is_over_in_time(single: Any) -> None:
-    single.clock.at += http.FORGOTTEN_AFTER
+    single.clock.at += http.ABANDONED_AFTER_US
     assert not single.told.items
-    single.clock.at += http.NEWS_WAIT
+    single.clock.at += http.STATUS_LONG_POLL_US
     assert (await single.told.until(lambda fact: True)).outcome is api.Outcome.RESET
 
 
 async def test_where_no_two_sends_may_be_out_a_restart_is_the_end_of_what_ran(single: Any) -> None:
-    single.actor.post(ListingChanged(ready=True, restarted=True))
+    single.actor.post(EndpointListingChanged(is_ready=True, restarted=True))
     assert (await single.told.until(lambda fact: True)).outcome is api.Outcome.RESET
 
 
@@ -258,7 +258,7 @@
     decider.post(
         discovery.EndpointListUpdate(1, True, (discovery.ListedEndpoint(engine(1), ("127.0.0.1", 9)),), 0)
     )
-    await until(lambda: decider.listed)
+    await until(lambda: decider.has_endpoint_list)
     actor = decider._endpoints.actor(engine(1).id)
     assert actor is not None and actor._copies == allowed
     await supervisor.stop()
@@ -292,8 +292,8 @@
     def __init__(self, most: int = 8) -> None:
         self.supervisor, self.reports, self.clock = Supervisor(), Line(), StillClock()
         self.deployment = read_settings(7, settings())
-        self.share = ClientShare(most, 2, self.clock, self.supervisor)
-        self.unread = Unread(1 << 20)
+        self.share = ClientConnectionLimiter(most, 2, self.clock, self.supervisor)
+        self.unread = UnreadReplies(1 << 20)
 
     def connect(self) -> tuple[ClientConnection, StandInClient, socket.socket]:
         ours, theirs = pair()
@@ -301,7 +301,7 @@
             ours, self.deployment, self.clock, self.reports.add, lambda: True, self.unread, self.share,
             self.supervisor,
         )  # fmt: skip
-        assert self.share.enter(client)
+        assert self.share.admit(client)
         stand_in = StandInClient()
         stand_in.raw = lambda frame: theirs.sendall(front.FRAME.pack(len(frame)) + frame)  # type: ignore[method-assign]
         return client, stand_in, theirs
@@ -339,10 +339,10 @@
     await desk.serve(client)
     stand_in.ask()
     command = await desk.taken(1)
-    assert command.owed()
+    assert command.is_awaited()
     theirs.close()
     began = time.monotonic()
-    while command.owed():  # with no turn of the loop: nobody has read it
+    while command.is_awaited():  # with no turn of the loop: nobody has read it
         assert time.monotonic() - began < LIMIT
 
 
@@ -352,7 +352,7 @@
     stand_in.give_up(stand_in.ask())
     command = await desk.taken(1)
     await desk.reports.until(lambda report: isinstance(report, RequestAbandoned))
-    assert command.over and not command.owed()
+    assert command.closed and not command.is_awaited()
 
 
 async def test_an_answer_goes_to_its_command_and_not_to_another_under_the_same_number(desk: Desk) -> None:
@@ -365,7 +365,7 @@
     assert first.seqid == second.seqid == 1
     client.post(ClientReply(front.encode_answer("process", 1, b"first\t\t\n", True), first))
     client.post(ClientReply(front.encode_answer("process", 1, b"second\t\t\n", True), second))
-    await until(lambda: not client.open and not client._writing)
+    await until(lambda: not client.open_requests and not client._writing)
     assert client.half_close()
     assert b"second" in (came := read_all(theirs)) and b"first" not in came
 
@@ -376,10 +376,10 @@
     stand_in.ask()
     command = await desk.taken(1)
     client.post(ClientReply(front.encode_answer("process", 1, b"1\t2\t3\n", True), command))
-    await until(lambda: not client.open and not client._writing)
+    await until(lambda: not client.open_requests and not client._writing)
     assert client.half_close()
     stand_in.ask()  # before the client has seen the close, or read its answer
-    await until(lambda: serving.done() or not client.has_news())
+    await until(lambda: serving.done() or not client.has_unread_bytes())
     assert b"1\t2\t3\n" in read_all(theirs)  # the last answer, and then the end
     stand_in.ask()  # a reset that the first of them had met would raise here
     assert len(desk.reports.items) == 1 and not serving.done()
@@ -392,14 +392,14 @@
 ) -> None:
     made = [desk.connect() for _ in range(4)]
     serving = [await desk.serve(client) for client, _, _ in made]
-    desk.clock.at += front.WORD_OWED
-    desk.share.look_after()  # all have said nothing in time; two may be half-closed at once
+    desk.clock.at += front.FIRST_MESSAGE_TIMEOUT_US
+    desk.share.evaluate()  # all have said nothing in time; two may be half-closed at once
     await asyncio.wait_for(asyncio.gather(*serving[:2]), LIMIT)
-    assert desk.share.closing == 2 and not any(task.done() for task in serving[2:])
-    desk.clock.at += front.IDLE_KEPT
-    desk.share.look_after()
+    assert desk.share.half_closed_count == 2 and not any(task.done() for task in serving[2:])
+    desk.clock.at += front.CLIENT_IDLE_TIMEOUT_US
+    desk.share.evaluate()
     await asyncio.wait_for(asyncio.gather(*serving), LIMIT)
-    assert desk.share.closing == 0
+    assert desk.share.half_closed_count == 0
 
 
 async def test_a_client_that_has_begun_to_write_gives_way_last_and_has_its_time() -> None:
@@ -414,12 +414,12 @@
     slow_side.ask()
     whole = front.FRAME.pack(len(frame.items[0])) + frame.items[0]
     slow_socket.sendall(whole[:20])
-    await until(lambda: slow.reads_since is not None)
+    await until(lambda: slow.partial_since is not None)
     newcomer, _, _ = desk.connect()  # there is room for two
     assert [*desk.share._idle] == [slow] and newcomer in desk.share._silent
-    desk.clock.at += front.IDLE_KEPT
-    slow.reads_since = desk.clock.at - 500 * MS
-    desk.share.look_after()
+    desk.clock.at += front.CLIENT_IDLE_TIMEOUT_US
+    slow.partial_since = desk.clock.at - 500 * MS
+    desk.share.evaluate()
     slow_socket.sendall(whole[20:])
     assert (await desk.taken(1)).client is slow
     await desk.supervisor.stop()
@@ -442,7 +442,7 @@
         theirs.sendall(b"\0\0")
         assert server._listener is not None
         server._accept(server._listener)  # and no turn of the loop after it
-        assert server._share.asking()
+        assert server._share.has_open_work()
     await server.stop()
 
 
@@ -450,12 +450,12 @@
     server = GatewayServer(configuration())
     await server.start()
     with socket.create_connection(server.address, LIMIT) as theirs:
-        theirs.sendall(front.encode_probe(1))
+        theirs.sendall(front.encode_health_probe(1))
         await until(lambda: server._share._idle)
         theirs.sendall(b"\0\1\0\0" + bytes(1 << 16))  # more than one read: the end comes before the rest
         stopping = asyncio.create_task(server.stop())
         answer = await asyncio.to_thread(read_all, theirs)  # a reset would raise
-        assert front.decode_probe_answer(answer[front.FRAME.size :])
+        assert front.decode_health_probe_reply(answer[front.FRAME.size :])
     await stopping
 
 
@@ -519,8 +519,8 @@
         events: list[discovery.EndpointListUpdate], listed: dict[bytes, api.EndpointStatus]
     ) -> dict[bytes, api.EndpointStatus]:
         for event in events:
-            now = {each.engine.id: each.engine.status for each in event.listed}
-            listed = now if event.whole else listed | now
+            now = {each.entry.id: each.entry.status for each in event.endpoints}
+            listed = now if event.is_snapshot else listed | now
         return listed
 
     events = [
@@ -535,16 +535,16 @@
         for rev, (whole, states) in enumerate(told, 1)
     ]
     before = {bytes([name] * 6): api.EndpointStatus.READY for name in range(4)}
-    assert applied([discovery.folded(events)], before) == applied(events, before)
+    assert applied([discovery.merge_updates(events)], before) == applied(events, before)
 
 
 async def test_events_that_came_together_are_told_as_one() -> None:
     told, supervisor = Line(), Supervisor()
-    engines = EngineList(read_settings(7, settings()), Clock(), told.add, supervisor)
+    engines = DiscoveryActor(read_settings(7, settings()), Clock(), told.add, supervisor)
     one, other = (discovery.ListedEndpoint(engine(name), ("127.0.0.1", name)) for name in (1, 2))
     events = tuple(
         discovery.EndpointListUpdate(rev, whole, listed, 0)
         for rev, whole, listed in ((1, True, (one, other)), (2, True, (other,)), (3, False, (one,)))
     )
-    await engines.receive(discovery.Notices(3, events))
-    assert [(each.whole, set(each.listed)) for each in told.items] == [(True, {one, other})]
+    await engines.receive(discovery.WatchEvents(3, events))
+    assert [(each.is_snapshot, set(each.endpoints)) for each in told.items] == [(True, {one, other})]
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -53,7 +53,7 @@
     assert isinstance(listener, FailingListener)
     listener.fails = number
     reader, writer = await asyncio.open_connection(*server.address)
-    writer.write(front.encode_probe(1))
+    writer.write(front.encode_health_probe(1))
     async with asyncio.timeout(5):
         assert await reader.readexactly(4)
     assert server.supervisor.counters["accepts failed"] == 1
--- a/tests/scale/test_long_lists.py
+++ b/tests/scale/test_long_lists.py
@@ -24,11 +24,11 @@
 
 def test_a_whole_list_costs_what_differs_and_withdraws_first() -> None:
     known = EndpointRegistry(lambda _id, _address: pytest.fail("nothing was sent"), 1)
-    known.apply(known.differing(whole(listed(1), listed(2), listed(3))))
-    assert known.differing(whole(listed(3), listed(1), listed(2))) == []
+    known.apply(known.changed_entries(whole(listed(1), listed(2), listed(3))))
+    assert known.changed_entries(whole(listed(3), listed(1), listed(2))) == []
     draining = listed(2, status=api.EndpointStatus.DRAINING)
-    told = known.differing(whole(listed(4), draining, listed(1)))
-    assert [(each.engine.id[0], each.engine.status) for each in told] == [
+    told = known.changed_entries(whole(listed(4), draining, listed(1)))
+    assert [(each.entry.id[0], each.entry.status) for each in told] == [
         (2, api.EndpointStatus.DRAINING),
         (3, api.EndpointStatus.REMOVED),
         (4, api.EndpointStatus.READY),
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,14 +19,14 @@
 from lotusstream.cli import main
 from lotusstream.deployment import read_settings
 from lotusstream.net.actor import Actor, Supervisor
-from lotusstream.net.buffer import Buffer, BufferFull
+from lotusstream.net.buffer import Buffer, BufferFullError
 from lotusstream.net.client import (
     ClientConnection,
+    ClientConnectionLimiter,
     ClientReply,
-    ClientShare,
     ReceivedRequest,
     RequestAbandoned,
-    Unread,
+    UnreadReplies,
 )
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import Connection, ConnectionPool, NoDescriptorError, SocketBudget
@@ -36,12 +36,12 @@
     AttemptFinished,
     ChangePriority,
     EndpointActor,
-    ListingChanged,
+    EndpointListingChanged,
     RunAttempt,
 )
 from lotusstream.policy import Gateway
 from lotusstream.protocol import front
-from lotusstream.protocol.http import Answer, AnswerReader
+from lotusstream.protocol.http import HttpResponse, HttpResponseReader
 from lotusstream.protocol.tables import table_group
 
 
@@ -82,11 +82,11 @@
 
 
 def test_an_interim_answer_that_comes_by_itself_is_not_the_answer() -> None:
-    reader = AnswerReader(100)
+    reader = HttpResponseReader(100)
     reader.feed(memoryview(b"HTTP/1.1 102 Processing\r\nResult-Page: 1\r\n\r\n"))
-    assert reader.answer is None
+    assert reader.response is None
     reader.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"))
-    assert reader.answer == Answer(200, {"content-length": "1"}, b"a", reusable=False)
+    assert reader.response == HttpResponse(200, {"content-length": "1"}, b"a", connection_reusable=False)
 
 
 def test_a_buffer_grows_to_its_limit_and_is_compacted_before() -> None:
@@ -98,7 +98,7 @@
     buffer.filled(3)
     assert len(buffer.space()) == 4
     buffer.filled(4)
-    with pytest.raises(BufferFull):
+    with pytest.raises(BufferFullError):
         buffer.space()
     buffer.use(8)
     assert len(buffer.space()) == 4
@@ -144,7 +144,7 @@
         done.set()
 
     supervisor = Supervisor()
-    supervisor.keep("work", work)
+    supervisor.start_restarting("work", work)
     await asyncio.wait_for(done.wait(), LIMIT)
     await supervisor.stop()
 
@@ -152,10 +152,10 @@
 async def test_descriptors_are_kept_back_for_calls_that_end_things() -> None:
     budget = SocketBudget(8)
     for _ in range(7):
-        budget.take(False)
+        budget.acquire(False)
     with pytest.raises(NoDescriptorError):
-        budget.take(False)
-    budget.take(True)
+        budget.acquire(False)
+    budget.acquire(True)
     with pytest.raises(NoDescriptorError):
         await Connection.open(("127.0.0.1", 1), 1000, budget, 0, ends_things=True)
 
@@ -166,19 +166,19 @@
     supervisor, deployment, reports = Supervisor(), read_settings(7, settings()), Line()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
-    share = ClientShare(2, 2, Clock(), supervisor)
+    share = ClientConnectionLimiter(2, 2, Clock(), supervisor)
     client = ClientConnection(
-        ours, deployment, Clock(), reports.add, lambda: True, Unread(1000), share, supervisor
+        ours, deployment, Clock(), reports.add, lambda: True, UnreadReplies(1000), share, supervisor
     )
-    assert share.enter(client)
+    assert share.admit(client)
     serving = asyncio.create_task(client.serve())
-    theirs.sendall(front.encode_probe(1))
+    theirs.sendall(front.encode_health_probe(1))
     while not share._idle or client._writing or len(client.mailbox):
         await asyncio.sleep(0)
     stand_in = StandInClient()
     stand_in.raw = lambda frame: theirs.sendall(front.FRAME.pack(len(frame)) + frame)  # type: ignore[method-assign]
     stand_in.ask()
-    monkeypatch.setattr(client, "has_news", lambda: False)  # it came a moment after the look
+    monkeypatch.setattr(client, "has_unread_bytes", lambda: False)  # it came a moment after the look
     assert client.half_close()
     theirs.shutdown(socket.SHUT_WR)  # until then what comes is read and dropped
     await asyncio.wait_for(serving, LIMIT)
@@ -235,7 +235,7 @@
         while len(desk.client.replies) < 2:
             desk.client.came.clear()
             await desk.client.came.wait()
-    assert [reply.ends for reply in desk.client.replies] == [held, bad]
+    assert [reply.request for reply in desk.client.replies] == [held, bad]
     assert (
         desk.supervisor.counters["failed lookup"] == 2
         and "RequestReceived(request_id=2" in capsys.readouterr().err
@@ -249,18 +249,18 @@
 async def test_a_second_end_of_a_send_is_counted_and_goes_no_further(
     desk: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(desk.supervisor.invariants, "hold", lambda what, true: true)  # as a release run does
+    monkeypatch.setattr(desk.supervisor.invariants, "check", lambda what, true: true)  # as a release run does
     desk.decider.post(AttemptFinished(9, 0, b"s-1", api.Outcome.ANSWERED, 10, rows=b""))
     desk.decider.post(RequestAbandoned(taken(desk, 4)))
     desk.decider.post(taken(desk, 5, 10_000))
     await asyncio.wait_for(desk.client.came.wait(), LIMIT)
-    assert [reply.ends.seqid for reply in desk.client.replies] == [5]
+    assert [reply.request.seqid for reply in desk.client.replies] == [5]
 
 
 async def test_a_command_that_the_module_forgot_is_failed_at_its_time(
     desk: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(desk.supervisor.invariants, "hold", lambda what, true: true)  # as a release run does
+    monkeypatch.setattr(desk.supervisor.invariants, "check", lambda what, true: true)  # as a release run does
     gone: list[int] = []
 
     def forgetful(self: Gateway, now: int, event: api.Event) -> list[api.Action]:
@@ -271,7 +271,7 @@
     desk.decider.post(taken(desk, 1, 50_000))
     async with asyncio.timeout(LIMIT):
         while not desk.client.replies:
-            desk.decider.look_after()
+            desk.decider.evaluate()
             await asyncio.sleep(0)
         while not gone:
             await asyncio.sleep(0)
@@ -283,7 +283,7 @@
     again = taken(desk, 6)
     desk.decider.post(again)
     await asyncio.wait_for(desk.client.came.wait(), LIMIT)
-    assert [reply.ends for reply in desk.client.replies] == [again]
+    assert [reply.request for reply in desk.client.replies] == [again]
 
 
 @pytest.fixture
@@ -327,7 +327,7 @@
     monkeypatch.setattr(ConnectionPool, "get", slow)
     engine.actor.post(start_send())
     await asyncio.wait_for(asked.wait(), LIMIT)
-    engine.actor.post(ListingChanged(ready=False, restarted=False))
+    engine.actor.post(EndpointListingChanged(is_ready=False, restarted=False))
     while len(engine.actor.mailbox):
         await asyncio.sleep(0)
     up.set()
@@ -342,7 +342,7 @@
         raise ZeroDivisionError
 
     with monkeypatch.context() as patch:
-        patch.setattr("lotusstream.protocol.http.start_headers", broken)
+        patch.setattr("lotusstream.protocol.http.attempt_headers", broken)
         engine.actor.post(start_send())
         ended = await engine.told.until(lambda fact: True)
     engine.actor.post(start_send(1))
@@ -357,9 +357,9 @@
     await engine.stand_in.calls.until(lambda call: call.method == "DELETE")
     engine.actor.post(AbortAttempt(1, 0))
     engine.actor.post(start_send(1, left=100_000))
-    await engine.told.until(lambda fact: fact.number == 1)
+    await engine.told.until(lambda fact: fact.attempt == 1)
     assert ended.outcome is api.Outcome.TIMED_OUT
-    assert [fact.number for fact in engine.told.items] == [0, 1]
+    assert [fact.attempt for fact in engine.told.items] == [0, 1]
 
 
 async def test_a_reset_is_told_with_whether_the_engine_still_answers(engine: Any) -> None:
@@ -368,9 +368,9 @@
     heard = await engine.told.until(lambda fact: True)
     engine.stand_in.acts = "dies"
     engine.actor.post(start_send(1))
-    lost = await engine.told.until(lambda fact: fact.number == 1)
-    assert (heard.outcome, heard.heard) == (api.Outcome.RESET, True)
-    assert (lost.outcome, lost.heard) == (api.Outcome.RESET, False)
+    lost = await engine.told.until(lambda fact: fact.attempt == 1)
+    assert (heard.outcome, heard.endpoint_responded) == (api.Outcome.RESET, True)
+    assert (lost.outcome, lost.endpoint_responded) == (api.Outcome.RESET, False)
 
 
 async def test_an_engine_that_is_gone_keeps_no_connection(engine: Any) -> None:
