--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -227,7 +227,7 @@
     def _trouble(self, why: str) -> None:
         self.trouble = why
         self.supervisor.counters.add("quorum disk failures")
-        self.supervisor.log.say("quorum", f"this keeper stands still: {why}", "error", why=why)
+        self.supervisor.log.write("quorum", f"this keeper stands still: {why}", "error", why=why)
         asyncio.get_running_loop().call_later(REOPEN_DELAY_S, self.post, _OpenStore())
 
     # What the desk wants
@@ -246,13 +246,15 @@
                 case ev.ReportRoleChange(role, term, leader, why):
                     self.supervisor.counters.add(f"quorum became {role}")
                     text = f"{role} in term {term}" + (f", {leader} leads" if leader else "") + f": {why}"
-                    log.say(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
+                    log.write(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
                 case ev.ReportMembershipChange(index, members):
                     names = [f"{each.name}{'' if each.voter else ' (learner)'}" for each in members]
-                    log.say("keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names)
+                    log.write(
+                        "keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names
+                    )
                 case LeaseHolderChanged(_, granted):
                     who = f"{granted.holder}, token {granted.token}" if granted.token else "nobody"
-                    log.say(
+                    log.write(
                         "lease",
                         f"{granted.task}: held by {who}",
                         "info",
