--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,18 +44,18 @@
 LOAD = replace(
     LOOKUP, latency_objective=3 * S, client_timeout=25 * S, is_load=True, waits_for_loads=False, threads=2
 )
-ONCE = replace(LOAD, idempotency=api.Idempotency.NOT_IDEMPOTENT, ordered_by_key=True)
-UNIQUED = replace(
+NOT_IDEMPOTENT = replace(LOAD, idempotency=api.Idempotency.NOT_IDEMPOTENT, ordered_by_key=True)
+WITH_IDEMPOTENCY_KEY = replace(
     LOAD,
     idempotency=api.Idempotency.IDEMPOTENT_WITH_KEY,
     deduplication_scope=api.DeduplicationScope.ZONE,
     deduplication_window=5 * S,
 )
-BOUND = replace(LOOKUP, kinds=frozenset({1}))
-PROFILES = (LOOKUP, LOAD, ONCE, UNIQUED, BOUND)
+RESTRICTED = replace(LOOKUP, kinds=frozenset({1}))
+PROFILES = (LOOKUP, LOAD, NOT_IDEMPOTENT, WITH_IDEMPOTENCY_KEY, RESTRICTED)
 
 
-class Host:
+class PolicyHost:
     def __init__(self, **changes: object) -> None:
         duties = api.RuleLimits(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, math.inf, 0.0, 0, 10 * S)
         allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False)
@@ -73,34 +73,34 @@
         )
         named = {key: value for key, value in changes.items() if hasattr(duties, key)}
         rest = {key: value for key, value in changes.items() if not hasattr(duties, key)}
-        self.now, self.ids, self.gateway = S, 100, Gateway()
-        self.log: list[api.Action] = []
-        self.tell(replace(start, rule_limits=replace(duties, **named), **rest))
+        self.now, self.latest_id, self.gateway = S, 100, Gateway()
+        self.actions: list[api.Action] = []
+        self.handle(replace(start, rule_limits=replace(duties, **named), **rest))
 
-    def tell(self, *events: api.Event) -> list[api.Action]:
+    def handle(self, *events: api.Event) -> list[api.Action]:
         actions = [a for event in (*events, api.BatchEnded()) for a in self.gateway.handle(self.now, event)]
-        self.log += actions
+        self.actions += actions
         return [action for action in actions if not isinstance(action, api.SetTimer | api.SetResources)]
 
-    def engines(
+    def list_endpoints(
         self, *engines: api.EndpointEntry, kind: api.EndpointListKind = api.EndpointListKind.SNAPSHOT
     ) -> list[api.Action]:
-        return self.tell(api.EndpointListReceived(kind, engines))
+        return self.handle(api.EndpointListReceived(kind, engines))
 
-    def take(self, profile: int = 0, group: int = 1, key: int | None = None, timeout: int | None = None,
+    def receive(self, profile: int = 0, group: int = 1, key: int | None = None, timeout: int | None = None,
              hint: int | None = 200 * MS) -> int:  # fmt: skip
-        self.ids += 1
+        self.latest_id += 1
         limit = timeout or PROFILES[profile].client_timeout
-        self.tell(api.RequestReceived(self.ids, profile, hint, None, limit, group, key))
-        return self.ids
+        self.handle(api.RequestReceived(self.latest_id, profile, hint, None, limit, group, key))
+        return self.latest_id
 
-    def end(self, command: int, outcome: api.Outcome, after: int = 200 * MS,
-            heard: bool = False) -> list[api.Action]:  # fmt: skip
+    def end_attempt(self, command: int, outcome: api.Outcome, after: int = 200 * MS,
+            endpoint_responded: bool = False) -> list[api.Action]:  # fmt: skip
         """The command's latest send ends; time passes in the gateway's own looks."""
         self.pass_time(after)
-        sends = self.sends(command)
+        sends = self.attempts(command)
         over = outcome is api.Outcome.ANSWERED
-        return self.tell(
+        return self.handle(
             api.AttemptEnded(
                 command,
                 len(sends) - 1,
@@ -111,25 +111,27 @@
                 None,
                 None,
                 None,
-                heard or outcome in api.REPORTED_BY_ENDPOINT,
+                endpoint_responded or outcome in api.REPORTED_BY_ENDPOINT,
             )
         )
 
     def pass_time(self, span: int) -> list[api.Action]:
-        end, seen = self.now + span, len(self.log)
-        while due := [a.at for a in self.log if isinstance(a, api.SetTimer) and self.now < a.at <= end]:
+        end, seen = self.now + span, len(self.actions)
+        while due := [a.at for a in self.actions if isinstance(a, api.SetTimer) and self.now < a.at <= end]:
             self.now = min(due)
-            self.tell(api.TimerFired(self.now))
+            self.handle(api.TimerFired(self.now))
         self.now = end
-        return self.log[seen:]
+        return self.actions[seen:]
 
-    def sends(self, command: int | None = None) -> list[api.StartAttempt]:
-        return [a for a in self.log if isinstance(a, api.StartAttempt) and command in (None, a.request_id)]
+    def attempts(self, command: int | None = None) -> list[api.StartAttempt]:
+        return [
+            a for a in self.actions if isinstance(a, api.StartAttempt) and command in (None, a.request_id)
+        ]
 
-    def finals(self, command: int) -> list[api.Action]:
+    def final_answers(self, command: int) -> list[api.Action]:
         return [
             a
-            for a in self.log
+            for a in self.actions
             if isinstance(a, api.RejectRequest | api.FailRequest) and a.request_id == command
         ]
 
@@ -139,9 +141,9 @@
 
 
 @pytest.fixture
-def host() -> Host:
-    made = Host()
-    made.engines(engine(1), engine(2), engine(3))
+def host() -> PolicyHost:
+    made = PolicyHost()
+    made.list_endpoints(engine(1), engine(2), engine(3))
     return made
 
 
--- /dev/null
+++ b/tests/fleet/test_overloaded_endpoint.py
@@ -0,0 +1,49 @@
+"""An endpoint that is overloaded by what all gateways sent there, as one of them sees it."""
+
+import pytest
+from conftest import MS, PolicyHost, S, engine
+
+from lotusstream import interface as api
+from lotusstream.interface import Outcome, ProgressKind
+
+
+@pytest.fixture
+def host() -> PolicyHost:
+    """One of 200 gateways; endpoints report progress every 2 s."""
+    host = PolicyHost(gateway_count=200, progress_interval=2 * S)
+    host.list_endpoints(*(engine(name) for name in range(1, 13)))
+    return host
+
+
+def cancel_for_slow_progress(host: PolicyHost, request: int) -> api.EndpointId:
+    """The endpoint reports after 1.4 s that 2% are done; the attempt is cancelled. Returns the endpoint."""
+    attempt = host.attempts(request)[-1]
+    host.pass_time(1400 * MS)
+    host.handle(
+        api.AttemptProgressed(
+            request, len(host.attempts(request)) - 1, attempt.endpoint_id, ProgressKind.PROGRESS, 0.02
+        )
+    )
+    host.pass_time(300 * MS)
+    assert any(isinstance(a, api.CancelAttempt) and a.request_id == request for a in host.actions)
+    return attempt.endpoint_id
+
+
+def test_a_cancelled_attempt_counts_with_the_latency_it_would_have_had(host: PolicyHost) -> None:
+    """By the short age of the attempt the endpoint looked faster than an idle one, and was sent more."""
+    overloaded = cancel_for_slow_progress(host, host.receive(hint=2 * S, timeout=20 * S))
+    host.receive(group=9)
+    (snapshot,) = [a for a in host.handle(api.SnapshotRequested()) if isinstance(a, api.GatewaySnapshot)]
+    latency_ratios = {endpoint.endpoint_id: endpoint.latency_ratio for endpoint in snapshot.endpoints}
+    assert latency_ratios[overloaded] > 1.2 * min(latency_ratios.values())
+
+
+def test_a_request_cancelled_at_one_endpoint_is_retried_at_another(host: PolicyHost) -> None:
+    """A request's random value is drawn once, and chose the same endpoint again."""
+    for group in range(10):
+        request = host.receive(group=group)
+        overloaded = cancel_for_slow_progress(host, request)
+        host.end_attempt(request, Outcome.CANCELLED, after=MS)
+        assert [attempt.endpoint_id for attempt in host.attempts(request)].count(overloaded) == 1
+        assert len(host.attempts(request)) == 2
+        host.end_attempt(request, Outcome.ANSWERED, after=MS)
--- /dev/null
+++ b/tests/fleet/test_placement_of_many.py
@@ -0,0 +1,88 @@
+"""Placement by many gateways with little traffic each: what they do alike adds up at endpoints."""
+
+from collections import Counter
+from dataclasses import replace
+
+from conftest import LOAD, LOOKUP, MS, PROFILES, RESTRICTED, PolicyHost, S, engine
+
+from lotusstream import interface as api
+from lotusstream.interface import Outcome
+from lotusstream.rendezvous import unit_hash
+
+ENDPOINT_IDS = [b"s-%08x" % (7919 * number * number % 2**32) for number in range(72)]
+KINDS = (api.EndpointKind(8.0, 0.0), api.EndpointKind(12.0, 0.0))
+
+
+def test_two_seeds_order_endpoints_independently() -> None:
+    """CRC-32 alone is affine: it gave groups with similar numbers the same endpoints."""
+    first = [min(ENDPOINT_IDS, key=lambda endpoint_id: unit_hash(endpoint_id, seed)) for seed in range(720)]
+    counts = Counter(first)
+    assert len(counts) == len(ENDPOINT_IDS) and max(counts.values()) < 30  # of ten each; chance gives 20
+
+
+def test_first_requests_of_many_gateways_spread_evenly_over_the_endpoints() -> None:
+    """One request at each of 720 gateways, each of its own group: no endpoint gets a multiple of its part."""
+    counts: Counter[api.EndpointId] = Counter()
+    for number in range(720):
+        host = PolicyHost(seed=number, gateway_count=200)
+        host.list_endpoints(*(engine(1, id=name) for name in ENDPOINT_IDS))
+        request = host.receive(group=7 * number)
+        counts[host.attempts(request)[0].endpoint_id] += 1
+        host.end_attempt(request, Outcome.ANSWERED)
+    assert max(counts.values()) <= 25  # of ten each
+
+
+def test_wide_endpoints_do_not_look_least_crowded_to_all_gateways() -> None:
+    """A request's own threads weigh less at a wider endpoint, for every gateway alike: all sent there."""
+    endpoints = [engine(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)]
+    at_wide_endpoints = 0
+    for number in range(100):
+        host = PolicyHost(seed=number, gateway_count=200, profiles=(LOAD,), kinds=KINDS)
+        host.list_endpoints(*endpoints)
+        for group in range(3):
+            host.receive(group=group)
+        latest = host.receive(group=4)
+        at_wide_endpoints += host.attempts(latest)[0].endpoint_id in {
+            entry.id for entry in endpoints if entry.kind
+        }
+    assert 40 <= at_wide_endpoints <= 80  # of 60 by cores
+
+
+def test_unrestricted_requests_spare_restricted_endpoints_after_a_few_requests() -> None:
+    """Weights followed only from the next epoch on, 16 shortest objectives later."""
+    host = PolicyHost(gateway_count=200)
+    host.list_endpoints(*(engine(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)))
+    for group in range(32):
+        host.end_attempt(
+            host.receive(profile=PROFILES.index(RESTRICTED), group=group), Outcome.ANSWERED, after=MS
+        )
+        host.end_attempt(host.receive(group=group), Outcome.ANSWERED, after=MS)
+    free = [host.attempts(host.receive(group=group))[0].endpoint_id for group in range(100, 160)]
+    assert sum(ENDPOINT_IDS.index(name) % 2 for name in free) < 20  # a third; half would be even
+
+
+def test_the_work_of_profiles_is_compared_over_one_span() -> None:
+    """Sums went back four of each profile's client timeouts: restricted work looked four times as much."""
+    host = PolicyHost(gateway_count=200, profiles=(LOOKUP, replace(RESTRICTED, client_timeout=25 * S)))
+    host.list_endpoints(*(engine(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)))
+    for second in range(100):
+        for profile in (0, 0, 0, 0, 0, 1):
+            request = host.receive(profile=profile, group=second % 9, timeout=6 * S)
+            host.end_attempt(request, Outcome.ANSWERED, after=100 * MS)
+    host.list_endpoints(kind=api.EndpointListKind.DELTA)
+    assert host.gateway.spare_capacity.ratios[0, 1] > 0.6  # a sixth of the work on half of the endpoints
+
+
+def test_groups_of_many_gateways_fill_the_endpoints_evenly() -> None:
+    """Where each group drew its affinity set by itself, some endpoints were in many sets, others in none."""
+    counts: Counter[api.EndpointId] = Counter()
+    for number in range(10):
+        host = PolicyHost(seed=number, gateway_count=200)
+        host.list_endpoints(*(engine(1, id=name) for name in ENDPOINT_IDS))
+        for group in list(range(5, 201, 7)) * 5:
+            request = host.receive(group=group)
+            counts[host.attempts(request)[0].endpoint_id] += 1
+            host.end_attempt(request, Outcome.ANSWERED, after=MS)
+    mean = counts.total() / len(ENDPOINT_IDS)
+    assert sum(counts[name] < mean / 4 for name in ENDPOINT_IDS) <= 10  # 20 were in no set
+    assert max(counts.values()) < 3 * mean
--- /dev/null
+++ b/tests/policy/test_catalog.py
@@ -0,0 +1,44 @@
+"""The index of listed endpoints."""
+
+import random
+from dataclasses import replace
+
+from conftest import LOOKUP, engine
+
+from lotusstream import interface as api
+from lotusstream.policy.catalog import Catalog
+
+
+def test_of_entries_with_one_id_the_last_counts() -> None:
+    """An endpoint that was listed twice was counted twice, or stayed when it was removed."""
+    catalog = Catalog(7, 1.0, lambda _kind: 8.0)
+    domain = catalog.domain((None, None, None), lambda _entry: True)
+    first, removed = engine(1), engine(1, status=api.EndpointStatus.REMOVED)
+    catalog.apply([first, removed, first], complete=True)
+    assert catalog.ready == len(domain) == 1
+    catalog.apply([first, removed], complete=False)
+    assert catalog.ready == len(domain) == 0 and not catalog.entries
+    catalog.apply([removed, first], complete=False)
+    assert catalog.ready == len(domain) == 1
+
+
+def test_an_updated_catalog_equals_one_that_is_built_anew() -> None:
+    """Changes are applied in place; what that leaves must not differ from a complete list."""
+    draw = random.Random(3)
+    entries = [engine(1, id=b"s-%04d" % number, kind=number % 2, zone=number % 3) for number in range(400)]
+    restricted = replace(LOOKUP, kinds=frozenset({1}))
+    updated = Catalog(7, 0.1, lambda kind: 4.0 + kind)
+    domain = updated.domain((None, restricted.kinds, None), restricted.admits)
+    updated.apply(entries, complete=True)
+    for _ in range(200):
+        index = draw.randrange(len(entries))
+        status = draw.choice(
+            [api.EndpointStatus.READY, api.EndpointStatus.DRAINING, api.EndpointStatus.REMOVED]
+        )
+        entries[index] = replace(entries[index], status=status, zone=draw.randrange(3))
+        updated.apply([entries[index]], complete=False)
+    rebuilt = Catalog(7, 0.1, lambda kind: 4.0 + kind)
+    rebuilt.apply(entries, complete=True)
+    rebuilt_domain = rebuilt.domain((None, restricted.kinds, None), restricted.admits)
+    assert domain.first(400) == rebuilt_domain.first(400) and domain.preferred == rebuilt_domain.preferred
+    assert updated.cores_by_class == rebuilt.cores_by_class and updated.ready_cores == rebuilt.ready_cores
--- a/tests/policy/test_operated_decisions.py
+++ b/tests/policy/test_operated_decisions.py
@@ -1,9 +1,9 @@
-"""Decisions under what the operator and other gateways tell stay the same to the last digit.
+"""Decisions under events of the operator and of other gateways stay the same to the last digit.
 
-The simulator's wire holds none of these events (levels of reduced service, cells, planned stops, reports of
-other gateways), so that the drawn streams of tests/simulation can't. The digests cover the values of every
-action in the order of its fields, and no name. A change that is meant to alter decisions replaces them, and
-says so in its commit.
+The simulator's wire has none of these events (levels of reduced service, cells, graceful shutdowns, reports
+of peers), so the drawn streams of tests/simulation lack them. The digests cover the values of every action in
+the order of its fields, and no name. A change that is meant to alter decisions replaces them, and says so in
+its commit.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 import pytest
 from conftest import MS, PROFILES, S
-from test_whatever_comes import RandomDay
+from random_day import RandomDay
 
 from lotusstream import interface as api
 
@@ -35,7 +35,7 @@
 
 
 def plain(value: object) -> object:
-    """The value without any name of a type, field or member; a member counts by its place."""
+    """Returns the value without any name of a type, field or member; a member counts by its index."""
     if isinstance(value, Enum):
         return list(type(value)).index(value)
     if is_dataclass(value):
@@ -46,10 +46,10 @@
 
 
 class OperatedDay(RandomDay):
-    """A random day on which operators and other gateways have their say."""
+    """A random day with events of operators and of other gateways."""
 
-    def __init__(self, seed: int, servers: int, gateways: int) -> None:
-        super().__init__(seed, servers, gateways)
+    def __init__(self, seed: int, endpoint_count: int, gateway_count: int) -> None:
+        super().__init__(seed, endpoint_count, gateway_count)
         self.events: Counter[type] = Counter()
         self.actions: Counter[type] = Counter()
         self._digest = hashlib.sha256()
@@ -57,13 +57,13 @@
     def play(self, seconds: int) -> None:
         self._push(S, api.EndpointListReceived(api.EndpointListKind.SNAPSHOT, tuple(self._entries)))
         for cell in range(CELLS):
-            self._push(S + 1, self._confinement(cell))
+            self._push(S + 1, self._cell_change(cell))
         draws = (
-            self._confinement_of_any,
+            self._change_of_any_cell,
             self._level,
-            self._rehoming,
-            self._dropping,
-            self._earlier_run,
+            self._migration,
+            self._withdrawal,
+            self._execution_elsewhere,
             self._peer_report,
             api.SnapshotRequested,
         )
@@ -81,32 +81,32 @@
         if isinstance(event, api.RequestReceived):
             cell = self._draw.choice((None, *range(CELLS)))
             core_is_slow = at % (4 * S) < S
-            waited = (
+            queue_delay = (
                 self._draw.choice((50 * MS, 60 * MS)) if core_is_slow else self._draw.choice((0, 10 * MS))
             )
-            event = replace(event, cell=cell, queue_delay=waited)
+            event = replace(event, cell=cell, queue_delay=queue_delay)
         super()._push(at, event)
 
     def _step(self, now: int, event: api.Event) -> None:
-        seen = len(self._host.log)
+        seen = len(self._host.actions)
         super()._step(now, event)
         self.events[type(event)] += 1
-        for action in self._host.log[seen:]:
+        for action in self._host.actions[seen:]:
             self.actions[type(action)] += 1
-            told = (now, ACTION_LABELS[type(action)], plain(action))
-            self._digest.update(repr(told).encode())
+            record = (now, ACTION_LABELS[type(action)], plain(action))
+            self._digest.update(repr(record).encode())
 
-    def _some_engines(self) -> frozenset[api.EndpointId]:
+    def _some_endpoints(self) -> frozenset[api.EndpointId]:
         count = self._draw.randrange(1, 1 + len(self._entries))
         return frozenset(entry.id for entry in self._draw.sample(self._entries, count))
 
-    def _confinement(self, cell: int) -> api.CellEndpointsChanged:
-        return api.CellEndpointsChanged(cell, self._draw.randrange(POOLS), self._some_engines())
+    def _cell_change(self, cell: int) -> api.CellEndpointsChanged:
+        return api.CellEndpointsChanged(cell, self._draw.randrange(POOLS), self._some_endpoints())
 
-    def _confinement_of_any(self) -> api.CellEndpointsChanged:
-        confinement = self._confinement(self._draw.randrange(CELLS))
-        lifted = self._draw.random() < 0.2
-        return replace(confinement, endpoint_ids=frozenset()) if lifted else confinement
+    def _change_of_any_cell(self) -> api.CellEndpointsChanged:
+        change = self._cell_change(self._draw.randrange(CELLS))
+        removed = self._draw.random() < 0.2
+        return replace(change, endpoint_ids=frozenset()) if removed else change
 
     def _level(self) -> api.DegradationChanged:
         if self._draw.random() < 0.4:
@@ -120,19 +120,19 @@
             priorities=tuple(self._draw.choice((None, 0, 2)) for _ in PROFILES),
         )
 
-    def _command(self) -> int:
+    def _request_id(self) -> int:
         return self._draw.randrange(SECONDS * 30)
 
-    def _rehoming(self) -> api.RequestMigrated:
-        return api.RequestMigrated(self._command(), self._draw.randrange(CELLS))
+    def _migration(self) -> api.RequestMigrated:
+        return api.RequestMigrated(self._request_id(), self._draw.randrange(CELLS))
 
-    def _dropping(self) -> api.RequestWithdrawn:
-        return api.RequestWithdrawn(self._command())
+    def _withdrawal(self) -> api.RequestWithdrawn:
+        return api.RequestWithdrawn(self._request_id())
 
-    def _earlier_run(self) -> api.ExecutedElsewhere:
+    def _execution_elsewhere(self) -> api.ExecutedElsewhere:
         at = S + self._draw.randrange(SECONDS * S)
         return api.ExecutedElsewhere(
-            self._command(), self._draw.choice((-1, 0)), self._draw.choice((-1, 0)), at
+            self._request_id(), self._draw.choice((-1, 0)), self._draw.choice((-1, 0)), at
         )
 
     def _peer_report(self) -> api.PeerHealthReported:
@@ -150,9 +150,9 @@
 }
 
 
-@pytest.mark.parametrize(("seed", "servers", "gateways"), DIGESTS)
-def test_operated_decisions_stay_the_same(seed: int, servers: int, gateways: int) -> None:
-    day = OperatedDay(seed, servers, gateways)
+@pytest.mark.parametrize(("seed", "endpoint_count", "gateway_count"), DIGESTS)
+def test_operated_decisions_stay_the_same(seed: int, endpoint_count: int, gateway_count: int) -> None:
+    day = OperatedDay(seed, endpoint_count, gateway_count)
     day.play(SECONDS)
     assert set(day.events) >= {
         api.ShutdownStarted,
@@ -164,4 +164,4 @@
         api.PeerHealthReported,
         api.SnapshotRequested,
     }
-    assert day.sha256 == DIGESTS[seed, servers, gateways]
+    assert day.sha256 == DIGESTS[seed, endpoint_count, gateway_count]
--- /dev/null
+++ b/tests/policy/test_slow_start.py
@@ -0,0 +1,49 @@
+"""What endpoints that have just started are sent."""
+
+from conftest import MS, PolicyHost, S, engine
+
+from lotusstream.interface import Outcome
+
+
+def test_an_endpoint_in_slow_start_gets_its_budget_only() -> None:
+    """An endpoint that has just started falls over if it is sent more than a multiple of what it can do."""
+    host = PolicyHost()
+    host.now = 100 * S
+    host.list_endpoints(engine(1, started_at=99 * S))
+    for _ in range(50):
+        host.receive()
+    sent = len(host.attempts())
+    assert 0 < sent * 200 * MS <= 3 * 0.3 * 8 * S
+    warm = PolicyHost()
+    warm.now = 120 * S
+    warm.list_endpoints(engine(1, started_at=99 * S))
+    assert all(len(warm.attempts(warm.receive())) == 1 for _ in range(30))
+
+
+def test_an_endpoint_that_answers_after_resets_begins_slow_start() -> None:
+    """It may have restarted without the list reporting it."""
+    host = PolicyHost()
+    host.list_endpoints(engine(1))
+    for _ in range(3):
+        host.end_attempt(host.receive(profile=2, group=7), Outcome.RESET)
+    host.pass_time(2 * S)
+    trial = host.receive()
+    second = host.receive()
+    assert len(host.attempts(trial)) == 1 and not host.attempts(second)
+    host.end_attempt(trial, Outcome.ANSWERED)
+    for _ in range(40):
+        host.receive()
+    assert len(host.attempts()) < 30
+
+
+def test_gateways_that_exchange_nothing_do_not_overload_an_endpoint_in_slow_start() -> None:
+    """Each gateway's part is less than one request, so each sends one now and then, by draw."""
+    sent = 0
+    for seed in range(200):
+        host = PolicyHost(gateway_count=200, seed=seed)
+        host.now = 100 * S
+        host.list_endpoints(engine(1, started_at=99 * S))
+        first = host.receive()
+        host.pass_time(5 * S)
+        sent += len(host.attempts(first))
+    assert 0 < sent * 200 * MS <= 5 * 3 * 0.3 * 8 * S
