--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -42,11 +42,11 @@
     """What the list says of withdrawn servers is applied late."""
     take_list = decider.Decider._on_endpoint_list_update
 
-    def late(self: decider.Decider, notice: Any) -> None:
+    def late(self: decider.Decider, update: Any) -> None:
         if self.has_endpoint_list:
-            asyncio.get_running_loop().call_later(DRAIN_DELAY, take_list, self, notice)
+            asyncio.get_running_loop().call_later(DRAIN_DELAY, take_list, self, update)
         else:
-            take_list(self, notice)
+            take_list(self, update)
 
     decider.Decider._on_endpoint_list_update = late  # type: ignore[method-assign]
 
--- /dev/null
+++ b/lotusstream/net/attempt_dispatcher.py
@@ -0,0 +1,100 @@
+"""Starts and cancels attempts and changes their priority, through the commitment gate where there is one."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lotusstream import interface as api
+from lotusstream.counters import Counters
+from lotusstream.deployment import Deployment
+from lotusstream.net.commitment_gate import AttemptControl, AttemptReady
+from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
+from lotusstream.net.endpoint_registry import EndpointRegistry
+from lotusstream.net.open_requests import OpenRequest
+
+
+class AttemptDispatcher:
+    """Turns orders of the decision module about attempts into messages to endpoint actors."""
+
+    def __init__(
+        self,
+        deployment: Deployment,
+        max_attempts: int,
+        endpoints: EndpointRegistry,
+        report: Callable[[AttemptFinished], None],
+        counters: Counters,
+    ) -> None:
+        """`max_attempts`: of one request. `report`: takes the end of an attempt that can't begin."""
+        self._deployment = deployment
+        self._max_attempts = max_attempts
+        self._endpoints = endpoints
+        self._report = report
+        self._counters = counters
+
+    def start(self, now: int, request: OpenRequest, order: api.StartAttempt) -> None:
+        """Starts the next attempt of a request. It ends at once as surely not executed where its endpoint is
+        unknown, the request is closed, or it would be one too many. `now`: in microseconds."""
+        attempt = len(request.attempts)
+        actor = self._endpoints.actor(order.endpoint_id)
+        request.attempts.append(actor)
+        request.in_flight.add(attempt)
+        is_allowed = request.is_open and attempt < self._max_attempts
+        if actor is None or not is_allowed:
+            request.attempts[attempt] = None
+            self._report(AttemptFinished(request.request_id, attempt, order.endpoint_id, api.Outcome.MOOT, 0))
+            return
+        actor.record_attempt_started(now)
+        self._count_start(request, attempt)
+        run = self._run_attempt(now, request, attempt, order.timeout)
+        if request.gate is not None:
+            entry = self._endpoints.listed[order.endpoint_id].entry
+            request.gate.post(AttemptReady(run, actor, entry, request.received))
+        else:
+            actor.post(run)
+
+    def _run_attempt(self, now: int, request: OpenRequest, attempt: int, timeout: int) -> RunAttempt:
+        """`timeout`: of the attempt, microseconds; 0 for the request's deadline alone."""
+        received = request.received
+        return RunAttempt(
+            request_id=request.request_id,
+            attempt=attempt,
+            started_at=now,
+            deadline=min(now + timeout, received.deadline) if timeout else received.deadline,
+            call_id=received.fields.call_id,
+            profile=self._deployment.profiles[received.fields.profile],
+            statement=received.statement,
+            idempotency_key=received.fields.idempotency_key,
+            priority=request.priority,
+            is_awaited=received.is_awaited,
+        )
+
+    def _count_start(self, request: OpenRequest, attempt: int) -> None:
+        self._counters.add(f"sent {self._deployment.profiles[request.received.fields.profile]}")
+        if not attempt:
+            return
+        previous = request.last_outcome.name.lower() if request.last_outcome is not None else "still out"
+        self._counters.add(f"sent again after {previous}")
+
+    def cancel(self, request: OpenRequest, attempt: int) -> None:
+        """Cancels an attempt that is in flight; any other is left alone."""
+        if attempt not in request.in_flight:
+            return
+        actor = request.attempts[attempt]
+        if actor is not None:
+            self._control(request, actor, AbortAttempt(request.request_id, attempt))
+
+    def change_priority(self, request: OpenRequest, priority: int) -> None:
+        """Sets the priority of the attempts in flight and of all that follow."""
+        request.priority = priority
+        for attempt in request.in_flight:
+            actor = request.attempts[attempt]
+            if actor is not None:
+                self._control(request, actor, ChangePriority(request.request_id, attempt, priority))
+
+    def _control(
+        self, request: OpenRequest, actor: EndpointActor, message: AbortAttempt | ChangePriority
+    ) -> None:
+        if request.gate is not None:
+            request.gate.post(AttemptControl(actor, message))
+        else:
+            actor.post(message)
--- a/lotusstream/net/commitment_gate.py
+++ b/lotusstream/net/commitment_gate.py
@@ -1,4 +1,4 @@
-"""What the decider and a commitment gate say to each other.
+"""The messages between the decider and a commitment gate.
 
 A commitment gate stands between the decider and the endpoints for requests with an idempotency key: an
 attempt leaves once the key is claimed, an answer once it is retained for repeats of the request.
@@ -16,40 +16,40 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptReady:
-    """A send that leaves once that is promised."""
+    """To the gate: an attempt that may leave once the key of its request is claimed."""
 
     start: RunAttempt
-    actor: EndpointActor
-    entry: api.EndpointEntry
+    actor: EndpointActor  # that it is for
+    entry: api.EndpointEntry  # of that endpoint
     request: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptControl:
-    """What follows a send on its way."""
+    """To the gate: an order about an attempt that was given to it before."""
 
-    actor: EndpointActor
+    actor: EndpointActor  # that the attempt is for
     message: AbortAttempt | ChangePriority
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerReceived:
-    """An engine has answered; Ready follows. `given`: the time that the client gave, microseconds."""
+    """To the gate: an endpoint has answered. The gate retains the answer and sends AnswerReady."""
 
     request_id: int
     rows: bytes
-    deadline: int
-    time_limit: int
+    deadline: int  # of the request, microseconds
+    time_limit: int  # that the client gave the request, microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClosed:
-    """No answer is owed any more. `ran`: a send that has ended may have run. `out`: sends that have not."""
+    """To the gate: no answer is owed any more."""
 
     request_id: int
-    may_have_run: bool
-    in_flight: frozenset[int]
-    time_limit: int
+    may_have_run: bool  # an attempt that has ended may have been executed
+    in_flight: frozenset[int]  # numbers of the attempts that have not ended
+    time_limit: int  # that the client gave the request, microseconds
 
 
 GateMessage = AttemptReady | AttemptControl | AnswerReceived | RequestClosed
@@ -57,16 +57,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerReady:
-    """What the client gets; no rows: failed, and why."""
+    """From the gate: what the client gets."""
 
     request_id: int
-    rows: bytes | None
-    reason: str
+    rows: bytes | None  # None: the request fails
+    reason: str  # why it fails
 
 
 class CommitmentGate(Protocol):
-    """Stands between the decider and engines, for commands that something is promised about."""
+    """Stands between the decider and the endpoints for requests that something is committed about."""
 
-    def covers(self, profile: int, mark: str | None) -> bool: ...
+    def covers(self, profile: int, idempotency_key: str | None) -> bool:
+        """Whether requests of this profile (an index) and with this key pass through the gate."""
+        ...
 
-    def post(self, message: GateMessage) -> None: ...
+    def post(self, message: GateMessage) -> None:
+        """Takes a message to be handled later, in the order of the calls."""
+        ...
--- a/lotusstream/net/decider_messages.py
+++ b/lotusstream/net/decider_messages.py
@@ -13,49 +13,51 @@
 from lotusstream.protocol import discovery
 
 
+@dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer of the module has come due."""
+    """The earliest timer of the decision module is due."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubsystemEvent:
-    """An event of whatever stands beside the module, such as the keeper of levels."""
+    """An event of a subsystem, which is passed on to the decision module as it is."""
 
     event: Any
 
 
+@dataclass(frozen=True, slots=True)
 class BatchDue:
-    """A round is due though nothing has come: time alone may change something beside the module."""
+    """A batch is due though nothing has happened: time alone may change the state of a subsystem."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequestView:
-    """For operators. Times in microseconds; `engines`: where its sends that are out went."""
+    """One open request, for operators. The names of the fields are keys of `ctl --json`, and stay."""
 
-    command: int
-    call: str
+    command: int  # id of the request
+    call: str  # the client's call id
     profile: str
-    group: int
-    age: int
-    left: int
-    sends: int
-    engines: tuple[str, ...]
+    group: int  # table group
+    age: int  # since its arrival, microseconds
+    left: int  # until its deadline, microseconds
+    sends: int  # number of its attempts
+    engines: tuple[str, ...]  # ids of the endpoints with an attempt in flight
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorView:
-    """For operators: what is open, and what the module believes."""
+    """What is open and what the decision module knows, for operators."""
 
-    now: int
+    now: int  # time of the batch, microseconds
     snapshot: api.GatewaySnapshot
     requests: tuple[OpenRequestView, ...]
-    addresses: dict[api.EndpointId, str]
-    kinds: tuple[str, ...]
+    addresses: dict[api.EndpointId, str]  # host:port
+    kinds: tuple[str, ...]  # names of the endpoint kinds, by their index
 
 
 @dataclass(frozen=True, slots=True)
 class ViewRequested:
-    """Asks for a View, at the next round."""
+    """Asks for a view, which the next batch gives."""
 
     answer: asyncio.Future[OperatorView]
 
--- a/lotusstream/net/endpoint.py
+++ b/lotusstream/net/endpoint.py
@@ -151,6 +151,16 @@
             profile=running.start.profile,
         )
 
+    def record_attempt_started(self, now: int) -> None:
+        """An attempt of it is in flight from `now` on, in microseconds."""
+        self.in_flight += 1
+        self.used_at = now
+
+    def record_attempt_ended(self, now: int) -> None:
+        """An attempt has ended, at `now` in microseconds."""
+        self.in_flight -= 1
+        self.used_at = now
+
     def close(self) -> None:
         self._pool.close()
         if self._task is not None:
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -187,7 +187,7 @@
             from lotusstream.net.commitments import CommitmentActor
 
             self.promises = CommitmentActor(name, told, deployment, decider, clock, self._tell, supervisor)
-            decider.gate = self.promises
+            decider.set_commitment_gate(self.promises)
         self.holder = LeaseHolderActor(name, told, seed, self._ask, self._agree, makers, decider, supervisor)
 
     def start(self) -> None:
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -11,8 +11,9 @@
 from lotusstream.net.client import TenantLookup
 from lotusstream.net.clock import Clock
 from lotusstream.net.configuration import Configuration, ConfigurationError
-from lotusstream.net.decider import Decider, DecisionModule
+from lotusstream.net.decider import Decider
 from lotusstream.net.decider_messages import SubsystemEvent
+from lotusstream.net.decision_module import DecisionModule
 from lotusstream.operator.file import OperatorFile, fixed_differences
 from lotusstream.operator.problems import OperatorFileError
 
--- a/lotusstream/protocol/discovery.py
+++ b/lotusstream/protocol/discovery.py
@@ -43,6 +43,11 @@
     updates: tuple[EndpointListUpdate, ...]
 
 
+def is_ready(listed: ListedEndpoint) -> bool:
+    """Whether new attempts may go to the endpoint. As a sort key: endpoints that are not ready first."""
+    return listed.entry.status is api.EndpointStatus.READY
+
+
 def merge_updates(events: Sequence[EndpointListUpdate]) -> EndpointListUpdate:
     """Events that came together as one with the same end: the last whole list, and the latest word on each
     engine. Guards engines that a later event of the same answer still lists against being dropped in between,
