--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -18,8 +18,8 @@
 import pytest
 from conftest import (
     LIMIT,
-    Host,
     Line,
+    PolicyHost,
     StandInBoard,
     StandInClient,
     StandInEngine,
@@ -267,11 +267,11 @@
 def test_a_repeat_that_connects_late_still_comes_before_the_engines_forget() -> None:
     allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False, connect_timeout=250 * MS)
     for left, again in ((200 * MS, False), (400 * MS, True)):  # until the engines forget: 5 s after the first
-        host = Host(capabilities=allowed)
-        host.engines(engine(1), engine(2))
-        command = host.take(profile=3)
-        host.end(command, api.Outcome.RESET, after=5 * S - left)
-        assert len(host.sends(command)) == 1 + again
+        host = PolicyHost(capabilities=allowed)
+        host.list_endpoints(engine(1), engine(2))
+        command = host.receive(profile=3)
+        host.end_attempt(command, api.Outcome.RESET, after=5 * S - left)
+        assert len(host.attempts(command)) == 1 + again
 
 
 # Clients: who has gone, whose answer it is, and what a close takes along
