--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -42,15 +42,15 @@
 
 def _from_the_reply() -> Any:
     """The holder counts its time from when the answer came."""
-    answered = holder.LeaseHolder._answered
+    answered = holder.LeaseHolder._on_reply
 
     def late(self: holder.LeaseHolder, event: holder.LeaseReplyReceived) -> None:
         for each in self._tasks.values():
-            if each.ask == event.ask:
-                each.asked = self._now
+            if each.pending_number == event.number:
+                each.sent_at = self._now
         answered(self, event)
 
-    return mock.patch.object(holder.LeaseHolder, "_answered", late)
+    return mock.patch.object(holder.LeaseHolder, "_on_reply", late)
 
 
 def _no_margin() -> Any:
@@ -59,7 +59,7 @@
 
     def full(self: virtual.VirtualFleet, node: virtual.HolderNode) -> holder.LeaseHolder:
         made = make(self, node)
-        made._terms = replace(self.scene.terms, margin=0)
+        made._timing = replace(self.scene.terms, safety_margin_us=0)
         return made
 
     return mock.patch.object(virtual.VirtualFleet, "_holder", full)
@@ -67,7 +67,7 @@
 
 def _half_is_enough() -> Any:
     def half(self: RaftNode, disks: set[str]) -> bool:
-        voters = [member.disk for member in self._voters()]
+        voters = [member.incarnation for member in self._voters()]
         return 2 * sum(disk in disks for disk in voters) >= len(voters)
 
     return mock.patch.object(RaftNode, "_majority", half)
@@ -81,12 +81,12 @@
         if not self._whole():
             return
         assert node.desk is not None
-        keeper = node.desk.keeper
-        first = keeper.journal.snapshot
+        keeper = node.desk.node
+        first = keeper.log.snapshot
         self.down(node)
         node.disk = virtual.VirtualDisk()
-        founders = ms.Snapshot(0, 0, first.group, first.members)
-        node.disk.synced = [ms.IncarnationRecord(keeper.disk), ms.SnapshotRecord(founders)]
+        founders = ms.Snapshot(0, 0, first.cluster_id, first.members)
+        node.disk.synced = [ms.IncarnationRecord(keeper.incarnation), ms.SnapshotRecord(founders)]
         self.back(node, 100_000)
 
     trusting = mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
@@ -116,7 +116,7 @@
 
     def forgets(cls: Any, state: bytes) -> table.LeaseTable:
         made: table.LeaseTable = load(cls, state)
-        made._next = 1
+        made._next_token = 1
         return made
 
     return mock.patch.object(table.LeaseTable, "load", classmethod(forgets))
@@ -124,17 +124,17 @@
 
 def _renewals_unseen() -> Any:
     """The leader runs a lease out though it was renewed meanwhile."""
-    due = LeaseExpiryTracker.due
+    due = LeaseExpiryTracker.expired_leases
 
     def deaf(
         self: LeaseExpiryTracker, now: int, term: int, leases: table.LeaseTable
     ) -> list[table.ExpireLease]:
-        for task, seen in self._seen.items():
+        for task, seen in self._observed.items():
             if (lease := leases.leases.get(task)) is not None and lease.token == seen.token:
-                seen.renewed = lease.renewed
+                seen.renewal_count = lease.renewal_count
         return due(self, now, term, leases)
 
-    return mock.patch.object(LeaseExpiryTracker, "due", deaf)
+    return mock.patch.object(LeaseExpiryTracker, "expired_leases", deaf)
 
 
 def _no_log_check() -> Any:
@@ -142,7 +142,7 @@
     asked = RaftNode._asked
 
     def kind(self: RaftNode, envelope: Any, ask: Any) -> None:
-        better = type(ask)(ask.term, 10**9, 10**9, ask.pre, ask.forced)
+        better = type(ask)(ask.term, 10**9, 10**9, ask.is_pre_vote, ask.is_transfer)
         asked(self, envelope, better)
 
     return mock.patch.object(RaftNode, "_asked", kind)
@@ -150,7 +150,7 @@
 
 def _cut_is_forgotten() -> Any:
     """Entries that conflict with the leader's stay where they are."""
-    return mock.patch.object(ReplicatedLog, "cut", lambda self, first: None)
+    return mock.patch.object(ReplicatedLog, "truncate_from", lambda self, first: None)
 
 
 HARD = replace(SCENE, faults=("crash", "cut", "one-way", "disk"), fault_every=400_000, loss=0.05)
@@ -162,7 +162,9 @@
     fault_every=300_000,
     slow=0.2,
 )
-SNAPPY = replace(SCENE, faults=("crash", "unwant"), fault_every=400_000, pace=replace(SCENE.pace, kept=4))
+SNAPPY = replace(
+    SCENE, faults=("crash", "unwant"), fault_every=400_000, pace=replace(SCENE.pace, compaction_entry_count=4)
+)
 PLANTED = (
     Planted(
         "answers before fsync",
--- a/lotusstream/cli/__init__.py
+++ b/lotusstream/cli/__init__.py
@@ -183,13 +183,13 @@
     for cell, _ in file.cells.cells if file.cells else ():
         print(f"cell {cell.name}{', quarantine' if cell.quarantine else ''}")
     if file.fleet is not None:
-        keepers = ", ".join(each.name for each in file.fleet.keepers)
+        keepers = ", ".join(each.name for each in file.fleet.quorum_members)
         print(f"fleet {file.fleet.group}: keepers {keepers}; tasks {', '.join(file.fleet.tasks) or 'none'}")
         if (copies := file.fleet.copies) is not None:
             from lotusstream.operator.units import write_time
 
-            holders = ", ".join(f"{each.name} ({each.machine}, {each.zone})" for each in file.fleet.holders)
-            kept = file.fleet.remember
+            holders = ", ".join(f"{each.name} ({each.machine}, {each.zone})" for each in file.fleet.replicas)
+            kept = file.fleet.idempotency_retention_us
             told = f"remembered for {write_time(kept)}" if kept else "no gateway's commands (no 'remember')"
             print(f"copies on {copies.copies} of {holders}; promised from {copies.promise} on; {told}")
     if (file.ladder is not None or file.cells is not None) and not arguments.config:
--- a/lotusstream/copies/replica.py
+++ b/lotusstream/copies/replica.py
@@ -262,7 +262,9 @@
                 self._learn(assigned)
             case LeaseFrom(sent, epochs):
                 self._look_at(epochs)
-                self._until = max(self._until, sent + self._terms.leases.length - self._terms.leases.margin)
+                self._until = max(
+                    self._until, sent + self._terms.leases.duration_us - self._terms.leases.safety_margin_us
+                )
             case Claim(ticket, holding, unix, after):
                 self._claim(ticket, holding, unix, after)
             case Finish(ticket, holding, unix):
@@ -467,14 +469,14 @@
         mine = shard.assigned
         if mine is None or not self._home(shard):
             return
-        if self._now >= shard.begun + self._terms.leases.length // AGAIN:
+        if self._now >= shard.begun + self._terms.leases.duration_us // AGAIN:
             shard.begun = self._now
             for each in (*mine.backups, *mine.joining):
                 self._say(each, ms.Begin(mine), rests=False)
         for to, filling in shard.filling.items():
             if filling.due is not None:
                 self._say_part(shard, to, filling)
-        while shard.waiting and self._now - shard.waiting[0][2] > self._terms.leases.length:
+        while shard.waiting and self._now - shard.waiting[0][2] > self._terms.leases.duration_us:
             why = "its copies do not answer"
             self._out.append(Unkept(shard.waiting.popleft()[1], why, "", True))
         if not self.leased or 1 + len(mine.backups) < self._terms.promise:
@@ -498,7 +500,7 @@
             self._out.append(Unkept(ticket, "cut off from whoever decides on homes"))
         elif 1 + len(mine.backups) < self._terms.promise:
             self._out.append(Unkept(ticket, "too few disks are left for a promise", self.place.name))
-        elif shard.waiting and self._now - shard.waiting[0][2] > self._terms.leases.length // 4:
+        elif shard.waiting and self._now - shard.waiting[0][2] > self._terms.leases.duration_us // 4:
             self._out.append(Unkept(ticket, "its copies do not answer", self.place.name))
         elif shard.ahead is not None:
             self._out.append(Unkept(ticket, "another disk has more", self.place.name))
@@ -583,7 +585,7 @@
         self._say_part(shard, to, under_way)
 
     def _stands_still(self, filling: Filling) -> bool:
-        return filling.due is None and self._now - filling.since > self._terms.leases.length
+        return filling.due is None and self._now - filling.since > self._terms.leases.duration_us
 
     def _odd(self, shard: Shard, to: Place, session: str) -> Filling | None:
         """While it is filled though it stands at the same change; not for ever: its last word may be lost."""
--- a/lotusstream/copies/shard_controller.py
+++ b/lotusstream/copies/shard_controller.py
@@ -142,7 +142,7 @@
     def handle(self, now: int, event: Event) -> list[Action]:
         out: list[Action] = []
         self._now = now
-        lost = now - self._terms.leases.length // 2  # its answer was: the quorum takes no epoch twice
+        lost = now - self._terms.leases.duration_us // 2  # its answer was: the quorum takes no epoch twice
         for shard, (since, proposed) in list(self._open.items()):
             if since <= lost:
                 del self._open[shard]
@@ -170,7 +170,7 @@
             case Found(assigned):
                 for each in assigned:
                     self._learn(each)
-        if now - self._looked >= self._terms.leases.length:
+        if now - self._looked >= self._terms.leases.duration_us:
             self._looked = now
             out.append(LookUp())
         self._decide(now, out)
@@ -198,8 +198,8 @@
         """None where it can't be told yet: it may have a lease from the manager before."""
         seen = self._seen.get(place)
         if seen is not None:
-            return now - seen.at < self._terms.leases.length and not seen.left
-        return None if now - self._began < self._terms.leases.length else False
+            return now - seen.at < self._terms.leases.duration_us and not seen.left
+        return None if now - self._began < self._terms.leases.duration_us else False
 
     def _stays(self, place: Place) -> bool:
         """Not on a machine that is to hold nothing."""
@@ -240,7 +240,7 @@
             for place, each in sorted(self._seen.items())
             if self._alive(now, place) and self._stays(place)
         ]
-        if now - self._began >= self._terms.leases.length:  # all that there are have been heard by then
+        if now - self._began >= self._terms.leases.duration_us:  # all that there are have been heard by then
             for shard in range(self._terms.shards):
                 if shard not in self.assigned and shard not in self._open:
                     self._first(shard, alive, out)
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -73,7 +73,7 @@
 
 class GatewayNode(Node):
     def __init__(self, name: str, world: CopyWorld) -> None:
-        super().__init__(name, world.draw, world.scene.terms.leases.drift)
+        super().__init__(name, world.draw, world.scene.terms.leases.max_clock_drift_ratio)
         self.disk, self.disk_name = Disk(), ""
         self.lied_until = 0  # until others have filled it anew
         self.replicas: ReplicaSet
@@ -144,7 +144,7 @@
         self._asks: dict[int, tuple[GatewayNode, int, int]] = {}
         self.gateways = {f"g{at}": GatewayNode(f"g{at}", self) for at in range(scene.gateways)}
         self.clients = {f"c{at}": ClientNode(f"c{at}", self) for at in range(scene.clients)}
-        self.chief = Node("manager", self.draw, scene.terms.leases.drift)
+        self.chief = Node("manager", self.draw, scene.terms.leases.max_clock_drift_ratio)
         self.manager: ShardController
         for gateway in self.gateways.values():
             self.again(gateway)
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -119,14 +119,14 @@
         match kind:
             case "deliver":
                 envelope = _ENVELOPES.decode(world.flying.pop(at))
-                self._tell(world, NAMES.index(envelope.to), ev.MessageReceived(envelope))
+                self._tell(world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope))
             case "lose":
                 world.left = replace(world.left, losses=world.left.losses - 1)
                 lost = _line(world.flying[at])
                 world.flying = [word for word in world.flying if _line(word) != lost]
             case "time-out":
                 world.left = replace(world.left, timeouts=world.left.timeouts - 1)
-                world.nows[at] += 10 * PACE.election
+                world.nows[at] += 10 * PACE.election_timeout_us
                 self._tell(world, at, ev.RaftTimeAdvanced())
             case "propose":
                 world.left = replace(world.left, proposals=world.left.proposals - 1)
@@ -136,7 +136,9 @@
                 if kind == "crash-unsaved" and world.flying:
                     # as if it had ended before the sync of its next word: that word was never said
                     envelope = _ENVELOPES.decode(world.flying[-1])
-                    self._tell(world, NAMES.index(envelope.to), ev.MessageReceived(envelope), saves=False)
+                    self._tell(
+                        world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope), saves=False
+                    )
                 world.nows[at] = 0
                 world.keepers[at] = _begun(NAMES[at], world.disks[at])
 
@@ -151,7 +153,9 @@
                         return
                     world.disks[at] = [*([] if rewrite else world.disks[at]), *records]
                     todo += keeper.handle(world.nows[at], ev.RecordsPersisted(number))
-                case ev.SendMessage(envelope) if not isinstance(envelope.body, ms.JoinRequest | ms.JoinReply):
+                case ev.SendMessage(envelope) if not isinstance(
+                    envelope.message, ms.JoinRequest | ms.JoinReply
+                ):
                     word = msgspec.msgpack.encode(envelope)
                     if word not in world.flying:
                         world.flying.append(word)
@@ -167,8 +171,8 @@
         """What tells one state from another; the way there does not."""
         keepers = [
             (
-                each.role, each.term, each.vote, each.leader, each.commit, sorted(each._votes),
-                [(e.term, int(e.kind), e.data) for e in each.journal.after(0, 1 << 30)],
+                each.role, each.term, each.voted_for, each.leader, each.commit_index, sorted(each._votes),
+                [(e.term, int(e.kind), e.data) for e in each.log.entries_after(0, 1 << 30)],
                 sorted((disk, f.next, f.match, f.out, f.upto) for disk, f in each._followers.items()),
                 each._heard_leader == now,
             )
@@ -184,4 +188,4 @@
 
 def _line(word: bytes) -> tuple[str, str]:
     envelope = _ENVELOPES.decode(word)
-    return envelope.sender, envelope.to
+    return envelope.sender, envelope.recipient
--- a/lotusstream/lab/fleet/lock_clients.py
+++ b/lotusstream/lab/fleet/lock_clients.py
@@ -31,7 +31,9 @@
         self.holder = hold.LeaseHolder(name, uuid.uuid4().hex, sorted(keepers), terms, 1)
         manners = PeerLimits(group, name, US, 4)
         self._links = {
-            keeper: PeerLink(keeper, ("127.0.0.1", port), manners, 3 * terms.length, self._told, supervisor)
+            keeper: PeerLink(
+                keeper, ("127.0.0.1", port), manners, 3 * terms.duration_us, self._told, supervisor
+            )
             for keeper, port in keepers.items()
         }
         self._timer: asyncio.TimerHandle | None = None
@@ -51,12 +53,12 @@
     def tell(self, event: hold.LeaseHolderEvent) -> None:
         for action in self.holder.handle(clock.boot_clock(), event):
             if isinstance(action, hold.SendLeaseOperation):
-                self._links[action.keeper].put(wire.LeaseOperationRequest(action.number, action.wish))
+                self._links[action.recipient].put(wire.LeaseOperationRequest(action.number, action.operation))
             elif isinstance(action, hold.StartTask):
                 self.begun.set()
         if self._timer is not None:
             self._timer.cancel()
-        pause = max(1000, self.holder.next_at - clock.boot_clock())
+        pause = max(1000, self.holder.next_timer_at - clock.boot_clock())
         self._timer = asyncio.get_running_loop().call_later(pause / US, self.tell, hold.LeaseTimeAdvanced())
 
     def _told(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
@@ -64,7 +66,7 @@
             self.tell(hold.LeaseFreed(self.task))
         elif isinstance(frame, wire.QuorumReply):
             self.answers += 1
-            self.tell(hold.LeaseReplyReceived(frame.number, frame.granted, frame.leader))
+            self.tell(hold.LeaseReplyReceived(frame.number, frame.result, frame.leader))
 
     def stop(self) -> None:
         if self._timer is not None:
--- a/lotusstream/lab/fleet/process.py
+++ b/lotusstream/lab/fleet/process.py
@@ -111,7 +111,7 @@
         self._sock.connect((host, int(port)))
         self._acting: asyncio.Task[None] | None = None
 
-    def begin(self, token: int) -> None:
+    def activate(self, token: int) -> None:
         self.stop("begun anew")
         self._acting = self._around.supervisor.start(WITNESS, self._act())
 
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -28,7 +28,7 @@
 from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
 from lotusstream.quorum.replicated_log import PersistedState
 
-PACE = RaftTiming(100 * MS, 400 * MS, batch=300, kept=25)
+PACE = RaftTiming(100 * MS, 400 * MS, max_batch_bytes=300, compaction_entry_count=25)
 TERMS = LeaseTiming(2 * S, 250 * MS, 0.05)
 
 
@@ -66,12 +66,12 @@
     changed: int = 0  # when something was last synced
 
     def sync(self, save: ev.PersistRecords) -> None:
-        self.synced = ([] if save.rewrite else self.synced) + list(save.records)
+        self.synced = ([] if save.replace_log else self.synced) + list(save.records)
         self.writing.remove(save)
 
     def crash(self, draw: random.Random) -> None:
         for save in self.writing:
-            if save.rewrite:  # a rename: whole or not at all
+            if save.replace_log:  # a rename: whole or not at all
                 if draw.random() < 0.5:
                     self.synced = list(save.records)
                     continue
@@ -124,7 +124,7 @@
             self.fails(f"{name} applied something else at {index} than another keeper")
 
     def passed(self, name: str, index: int, granted: LeaseResult) -> None:
-        if granted.fresh:
+        if granted.is_new_grant:
             told = (granted.token, granted.holder)
             if index not in self.tokens:
                 newest = max((each[0] for at, each in self.tokens.items() if at < index), default=0)
@@ -151,7 +151,7 @@
     def __init__(self, seed: int, scene: Scene) -> None:
         super().__init__(seed, scene)
         self.scene, self.judge = scene, Judge(seed)
-        drift = scene.terms.drift
+        drift = scene.terms.max_clock_drift_ratio
         self.keepers = {f"k{i}": KeeperNode(f"k{i}", self.draw, drift) for i in range(scene.keepers)}
         self.holders = {f"g{i}": HolderNode(f"g{i}", self.draw, drift) for i in range(scene.holders)}
         self._fresh = 0
@@ -196,13 +196,13 @@
         assert node.desk is not None
         for action in node.desk.handle(node.clock(self.now), event):
             self._carry_out(node, action)
-        if node.desk.keeper.role == LEADER:
-            self.judge.leads(node.desk.keeper.term, node.desk.keeper.disk)
-        for index in range(max(1, node.desk.keeper.applied - 3), node.desk.keeper.applied + 1):
-            if index > node.desk.keeper.journal.snapshot.index:
-                entry = node.desk.keeper.journal.entry(index)
+        if node.desk.node.role == LEADER:
+            self.judge.leads(node.desk.node.term, node.desk.node.incarnation)
+        for index in range(max(1, node.desk.node.applied_index - 3), node.desk.node.applied_index + 1):
+            if index > node.desk.node.log.snapshot.index:
+                entry = node.desk.node.log.entry_at(index)
                 self.judge.applied(node.name, index, (entry.term, entry.kind), entry.data)
-        self._wake(node, node.desk.next_at, lambda: self._tell_keeper(node, ev.RaftTimeAdvanced()))
+        self._wake(node, node.desk.next_timer_at, lambda: self._tell_keeper(node, ev.RaftTimeAdvanced()))
 
     def _carry_out(self, node: KeeperNode, action: Any) -> None:
         match action:
@@ -211,11 +211,11 @@
                 span = self.draw.randint(1 * MS, self.scene.sync) + node.slow_disk
                 self.after(span, self._on(node, lambda: self._synced(node, action)))
             case ev.SendMessage(envelope):
-                target = self.keepers[envelope.to]
+                target = self.keepers[envelope.recipient]
                 self._deliver(node, target, lambda: self._tell_keeper(target, ev.MessageReceived(envelope)))
             case LeaseServiceReply(caller, _, _, _, _, done) if isinstance(caller, int):
                 if done:
-                    self.judge.read(node.name, caller, node.desk.table.newest if node.desk else 0)
+                    self.judge.read(node.name, caller, node.desk.table.newest_token if node.desk else 0)
             case LeaseServiceReply(caller, number, granted, leader):
                 holder = self.holders[str(caller)]
                 event: hold.LeaseHolderEvent = hold.LeaseReplyReceived(number, granted, leader)
@@ -235,7 +235,7 @@
     def _read(self) -> None:
         """From whoever takes itself for the leader, and it must know all that was granted before."""
         for node in self.keepers.values():
-            leads = node.desk is not None and node.desk.keeper.role == LEADER
+            leads = node.desk is not None and node.desk.node.role == LEADER
             if leads and node.up and not node.stopped:
                 self._tell_keeper(node, LeaseTableReadReceived(self.judge.newest, 0))
         self.after(self.scene.look_every, self._read)
@@ -257,12 +257,12 @@
         for action in node.holder.handle(node.clock(self.now), event):
             if isinstance(action, hold.SendLeaseOperation):
                 target, asked = (
-                    self.keepers[action.keeper],
-                    LeaseOperationReceived(node.name, action.number, action.wish),
+                    self.keepers[action.recipient],
+                    LeaseOperationReceived(node.name, action.number, action.operation),
                 )
                 self._deliver(node, target, self._asking(target, asked))
         self._look()
-        self._wake(node, node.holder.next_at, lambda: self._tell_holder(node, hold.LeaseTimeAdvanced()))
+        self._wake(node, node.holder.next_timer_at, lambda: self._tell_holder(node, hold.LeaseTimeAdvanced()))
 
     def _asking(self, target: KeeperNode, asked: LeaseOperationReceived) -> Callable[[], None]:
         return lambda: self._tell_keeper(target, asked)
@@ -326,11 +326,11 @@
         def roll() -> None:
             if not self._whole() or self.cuts or not node.up or node.disk.synced[: len(older)] != older:
                 return
-            if self.now - node.disk.changed < 3 * self.scene.pace.heartbeat:
+            if self.now - node.disk.changed < 3 * self.scene.pace.heartbeat_us:
                 return
             self.down(node)
             node.disk.synced = older
-            self._calm_until = self.now + 2 * self.scene.pace.election
+            self._calm_until = self.now + 2 * self.scene.pace.election_timeout_us
             self.again(node)
 
         self.after(self.draw.randint(0, S), roll)
@@ -340,12 +340,12 @@
         desks = [node.desk for node in self.keepers.values() if node.up and not node.stopped]
         if len(desks) < len(self.keepers):
             return False
-        keepers = [desk.keeper for desk in desks if desk is not None]
-        commit = max(keeper.commit for keeper in keepers)
-        disks = {keeper.disk for keeper in keepers}
+        keepers = [desk.node for desk in desks if desk is not None]
+        commit = max(keeper.commit_index for keeper in keepers)
+        disks = {keeper.incarnation for keeper in keepers}
         return all(
-            {member.disk for member in keeper.members if member.voter} == disks
-            and keeper.commit >= commit - 1
+            {member.incarnation for member in keeper.members if member.is_voter} == disks
+            and keeper.commit_index >= commit - 1
             for keeper in keepers
         )
 
@@ -374,7 +374,7 @@
 
     def _alive(self) -> None:
         """Once faults have ended: one leader, whole, and somebody acts for every task."""
-        if not any(node.desk and node.desk.keeper.role == LEADER for node in self.keepers.values()):
+        if not any(node.desk and node.desk.node.role == LEADER for node in self.keepers.values()):
             self.judge.fails("no leader though all faults have ended")
         if not self._whole():
             self.judge.fails("a keeper has not caught up though all faults have ended")
--- a/lotusstream/leases/holder.py
+++ b/lotusstream/leases/holder.py
@@ -24,15 +24,15 @@
     """Not any more; `heir` gets it next, if somebody is named."""
 
     task: str
-    heir: str = ""
+    successor: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReplyReceived:
     """`ask`: the number of the Ask. `granted` is None where nothing is known; `leader`: whom to ask."""
 
-    ask: int
-    granted: LeaseResult | None
+    number: int
+    result: LeaseResult | None
     leader: str = ""
 
 
@@ -56,8 +56,8 @@
 @dataclass(frozen=True, slots=True)
 class SendLeaseOperation:
     number: int
-    keeper: str
-    wish: LeaseOperation
+    recipient: str
+    operation: LeaseOperation
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
     task: str
     token: int
-    why: str
+    reason: str
 
 
 LeaseHolderAction = SendLeaseOperation | StartTask | StopTask
@@ -84,12 +84,12 @@
 class _TaskState:
     wanted: bool = False
     token: int = 0
-    until: int = 0
-    ask_at: int = 0
-    ask: int = 0  # out, or 0
-    asked: int = 0
+    act_until: int = 0
+    next_send_at: int = 0
+    pending_number: int = 0  # out, or 0
+    sent_at: int = 0
     release: ReleaseLease | None = None
-    tries: int = 0
+    failed_attempt_count: int = 0
 
 
 class LeaseHolder:
@@ -99,7 +99,7 @@
         self, name: str, session: str, keepers: Sequence[str], terms: LeaseTiming, seed: int
     ) -> None:
         self._name, self._session, self._keepers = name, session, tuple(keepers)
-        self._terms, self._seed, self._draws = terms, seed, 0
+        self._timing, self._seed, self._draws = terms, seed, 0
         self._tasks: dict[str, _TaskState] = {}
         self._leader, self._turn, self._number = "", 0, 0
         self._now, self._out = 0, list[LeaseHolderAction]()
@@ -110,15 +110,15 @@
             case LeaseWanted(task):
                 found = self._tasks.setdefault(task, _TaskState())
                 if not found.wanted:
-                    found.wanted, found.ask_at = True, self._now
+                    found.wanted, found.next_send_at = True, self._now
             case LeaseUnwanted(task, heir):
                 self._unwant(task, heir)
             case LeaseReplyReceived():
-                self._answered(event)
+                self._on_reply(event)
             case LeaseFreed(task):
                 waiting = self._tasks.get(task)
                 if waiting is not None and not waiting.token:
-                    waiting.ask_at = self._now
+                    waiting.next_send_at = self._now
         for name, each in self._tasks.items():
             self._drive(name, each)
         return self._out
@@ -126,25 +126,25 @@
     def may_act(self, now: int, task: str) -> int:
         """The token to act under at this moment, or 0: to be asked before each act."""
         found = self._tasks.get(task)
-        return found.token if found is not None and found.token and now < found.until else 0
+        return found.token if found is not None and found.token and now < found.act_until else 0
 
     @property
-    def next_at(self) -> int:
+    def next_timer_at(self) -> int:
         """When to say Tick next; a long time where nothing is wanted."""
-        times = [self._now + self._terms.length]
+        times = [self._now + self._timing.duration_us]
         for each in self._tasks.values():
             if each.token:
-                times.append(each.until)
-            if each.ask:
-                times.append(each.asked + self._patience)
+                times.append(each.act_until)
+            if each.pending_number:
+                times.append(each.sent_at + self._patience)
             elif each.wanted or each.release is not None:
-                times.append(each.ask_at)
+                times.append(each.next_send_at)
         return min(times)
 
     @property
     def _patience(self) -> int:
         """For an answer: several tries fit into a lease."""
-        return self._terms.length // 8
+        return self._timing.duration_us // 8
 
     def _draw(self, least: int, most: int) -> int:
         self._draws += 1
@@ -162,62 +162,70 @@
             self._stop(task, found, "not wanted any more")
             self._number += 1
             found.release = ReleaseLease(task, self._name, self._session, self._number, token, heir)
-            found.ask, found.ask_at, found.tries = 0, self._now, 0
+            found.pending_number, found.next_send_at, found.failed_attempt_count = 0, self._now, 0
 
     def _stop(self, task: str, found: _TaskState, why: str) -> None:
         self._out.append(StopTask(task, found.token, why))
         found.token = 0
 
-    def _answered(self, event: LeaseReplyReceived) -> None:
-        task = next((name for name, each in self._tasks.items() if each.ask == event.ask), None)
+    def _on_reply(self, event: LeaseReplyReceived) -> None:
+        task = next((name for name, each in self._tasks.items() if each.pending_number == event.number), None)
         if event.leader in self._keepers:
             self._leader = event.leader
-        elif event.granted is None:
+        elif event.result is None:
             self._leader = ""
             self._turn += 1
-        if task is None or not event.ask:
+        if task is None or not event.number:
             return  # of an ask that was given up: its time may be over
         found = self._tasks[task]
-        found.ask, asked = 0, found.asked
-        granted, again = event.granted, self._terms.length // 3
+        found.pending_number, asked = 0, found.sent_at
+        granted, again = event.result, self._timing.duration_us // 3
         if granted is None:
-            found.tries += 1
-            found.ask_at = self._now + self._draw(0, min(self._patience << min(found.tries, 4), again))
+            found.failed_attempt_count += 1
+            found.next_send_at = self._now + self._draw(
+                0, min(self._patience << min(found.failed_attempt_count, 4), again)
+            )
             return
-        found.tries = 0
+        found.failed_attempt_count = 0
         if found.release is not None:
             found.release = None
-            found.ask_at = self._now
+            found.next_send_at = self._now
         elif not granted.done or granted.holder != self._name:
             if found.token:
-                self._stop(task, found, granted.why or "another holder has it")
+                self._stop(task, found, granted.reason or "another holder has it")
             # whoever is told that it is free asks at once; this is for those who are not
-            least = granted.left or again
-            found.ask_at = self._now + least + self._draw(0, again // 4 if granted.left else again)
+            least = granted.remaining_us or again
+            found.next_send_at = (
+                self._now + least + self._draw(0, again // 4 if granted.remaining_us else again)
+            )
         elif found.wanted:
-            found.until = asked + self._terms.length - self._terms.margin
+            found.act_until = asked + self._timing.duration_us - self._timing.safety_margin_us
             if found.token and found.token != granted.token:
                 self._stop(task, found, "granted anew")
-            if not found.token and self._now < found.until:
+            if not found.token and self._now < found.act_until:
                 found.token = granted.token
                 self._out.append(StartTask(task, granted.token))
-            found.ask_at = asked + again
+            found.next_send_at = asked + again
 
     def _drive(self, name: str, each: _TaskState) -> None:
-        if each.token and self._now >= each.until:
+        if each.token and self._now >= each.act_until:
             self._stop(name, each, "its time is over and no renewal has come")
-        if each.ask and self._now >= each.asked + self._patience:
-            each.ask, each.tries = 0, each.tries + 1
+        if each.pending_number and self._now >= each.sent_at + self._patience:
+            each.pending_number, each.failed_attempt_count = 0, each.failed_attempt_count + 1
             self._leader, self._turn = "", self._turn + 1
-            each.ask_at = self._now
-        if each.ask or self._now < each.ask_at or not (each.wanted or each.release is not None):
+            each.next_send_at = self._now
+        if (
+            each.pending_number
+            or self._now < each.next_send_at
+            or not (each.wanted or each.release is not None)
+        ):
             return
-        if each.release is not None and each.tries > 8:
+        if each.release is not None and each.failed_attempt_count > 8:
             each.release = None  # it runs out by itself
             return
         self._number += 1
         wish: LeaseOperation = each.release or AcquireLease(name, self._name, self._session, self._number)
-        each.ask, each.asked = self._number, self._now
+        each.pending_number, each.sent_at = self._number, self._now
         keeper = self._leader or self._keepers[self._turn % len(self._keepers)]
         self._out.append(SendLeaseOperation(self._number, keeper, wish))
 
--- a/lotusstream/leases/service.py
+++ b/lotusstream/leases/service.py
@@ -22,7 +22,7 @@
 
     caller: object
     number: int
-    wish: LeaseOperation
+    operation: LeaseOperation
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,9 @@
 
     caller: object
     number: int
-    granted: LeaseResult | None
+    result: LeaseResult | None
     leader: str
-    why: str = ""
+    reason: str = ""
     done: bool = False
 
 
@@ -60,7 +60,7 @@
     """For the log: a lease has another holder, or none."""
 
     index: int
-    granted: LeaseResult
+    result: LeaseResult
 
 
 LeaseServiceAction = (
@@ -75,15 +75,15 @@
 
 class LeaseService:
     def __init__(self, keeper: RaftNode, terms: LeaseTiming) -> None:
-        self.keeper, self.table = keeper, LeaseTable()
-        self._granter = LeaseExpiryTracker(terms)
+        self.node, self.table = keeper, LeaseTable()
+        self._expiry_tracker = LeaseExpiryTracker(terms)
         self._tickets: dict[int, tuple[object, int]] = {}
         self._ticket = 0
         self._waiters: dict[str, list[object]] = {}
 
     @property
-    def next_at(self) -> int:
-        return self.keeper.next_at
+    def next_timer_at(self) -> int:
+        return self.node.next_timer_at
 
     def handle(
         self,
@@ -102,19 +102,19 @@
                 found = ev.MembershipChangeSubmitted(self._take(caller, number), name, add)
             case _:
                 found = event
-        todo = deque(self.keeper.handle(now, found))
+        todo = deque(self.node.handle(now, found))
         while True:
             while todo:
                 todo += self._act(now, todo.popleft(), out)
             due = []
-            if self.keeper.role == LEADER:
-                due = self._granter.due(now, self.keeper.term, self.table)
+            if self.node.role == LEADER:
+                due = self._expiry_tracker.expired_leases(now, self.node.term, self.table)
             for expire in due:
-                todo += self.keeper.handle(now, ev.ProposalSubmitted(NO_TICKET, encode_operation(expire)))
+                todo += self.node.handle(now, ev.ProposalSubmitted(NO_TICKET, encode_operation(expire)))
             if not todo:
                 return out
 
-    def waiting(self) -> list[tuple[object, int]]:
+    def pending_requests(self) -> list[tuple[object, int]]:
         """Callers and numbers that have no answer yet."""
         return list(self._tickets.values())
 
@@ -125,18 +125,18 @@
 
     def _at_once(self, now: int, asked: LeaseOperationReceived) -> LeaseServiceReply | None:
         """'Held' needs no entry in the log: at worst it is late news, and the wish comes again."""
-        if self.keeper.role != LEADER or not isinstance(asked.wish, AcquireLease):
+        if self.node.role != LEADER or not isinstance(asked.operation, AcquireLease):
             return None
-        lease = self.table.leases.get(asked.wish.task)
-        if lease is None or not lease.token or lease.holder == asked.wish.holder:
+        lease = self.table.leases.get(asked.operation.task)
+        if lease is None or not lease.token or lease.holder == asked.operation.holder:
             return None
-        left = self._granter.left(now, lease.task)
-        granted = LeaseResult(False, lease.task, lease.holder, lease.token, "held", left=left)
+        left = self._expiry_tracker.remaining_us(now, lease.task)
+        granted = LeaseResult(False, lease.task, lease.holder, lease.token, "held", remaining_us=left)
         waiters = self._waiters.setdefault(lease.task, [])
         if asked.caller not in waiters:
             waiters.append(asked.caller)
             del waiters[:-MAX_WAITERS_COUNT]
-        return LeaseServiceReply(asked.caller, asked.number, granted, self.keeper.name)
+        return LeaseServiceReply(asked.caller, asked.number, granted, self.node.name)
 
     def _act(self, now: int, action: ev.RaftAction, out: list[LeaseServiceAction]) -> list[ev.RaftAction]:
         match action:
@@ -148,14 +148,12 @@
                         out.append(LeaseHolderChanged(index, granted))
                     if not granted.token:
                         for caller in self._waiters.pop(granted.task, ()):
-                            out.append(
-                                LeaseServiceReply(caller, LEASE_FREED_NUMBER, granted, self.keeper.name)
-                            )
+                            out.append(LeaseServiceReply(caller, LEASE_FREED_NUMBER, granted, self.node.name))
                     self._reply(ticket, out, granted, done=True)
             case ev.RestoreSnapshot(_, state):
                 self.table = LeaseTable.load(state)
             case ev.TakeSnapshot(index):
-                return self.keeper.handle(now, ev.SnapshotTaken(index, self.table.dump()))
+                return self.node.handle(now, ev.SnapshotTaken(index, self.table.dump()))
             case ev.CompleteRequest(ticket):
                 self._reply(ticket, out, None, done=True)
             case ev.FailRequest(ticket, why, leader, _):
@@ -176,5 +174,5 @@
         waiting = self._tickets.pop(ticket, None) if ticket is not None else None
         if waiting is not None:
             out.append(
-                LeaseServiceReply(*waiting, granted, leader or (self.keeper.name if done else ""), why, done)
+                LeaseServiceReply(*waiting, granted, leader or (self.node.name if done else ""), why, done)
             )
--- a/lotusstream/leases/table.py
+++ b/lotusstream/leases/table.py
@@ -39,7 +39,7 @@
     session: str
     number: int
     token: int
-    heir: str = ""
+    successor: str = ""
 
 
 class ExpireLease(LeaseOperationBase, frozen=True, tag="expire"):
@@ -47,7 +47,7 @@
 
     task: str
     token: int
-    renewed: int
+    renewal_count: int
 
 
 class RevokeLease(LeaseOperationBase, frozen=True, tag="take-back"):
@@ -55,7 +55,7 @@
 
     task: str
     token: int
-    heir: str = ""
+    successor: str = ""
 
 
 class PutNote(LeaseOperationBase, frozen=True, tag="put"):
@@ -77,7 +77,15 @@
     return msgspec.msgpack.encode(wish)
 
 
-class Lease(msgspec.Struct):
+class Lease(
+    msgspec.Struct,
+    rename={
+        "renewal_count": "renewed",
+        "successor": "heir",
+        "is_revoked": "ending",
+        "grant_count": "granted",
+    },
+):
     """`token` 0: free. `heir`: the only one who gets it, until an Expire ends that. `ending`: taken back by
     hand, not renewed any more."""
 
@@ -85,10 +93,10 @@
     holder: str = ""
     session: str = ""
     token: int = 0
-    renewed: int = 0
-    heir: str = ""
-    ending: bool = False
-    granted: int = 0  # how many times anybody got it
+    renewal_count: int = 0
+    successor: str = ""
+    is_revoked: bool = False
+    grant_count: int = 0  # how many times anybody got it
 
 
 class Note(msgspec.Struct, frozen=True):
@@ -100,7 +108,11 @@
     author: str
 
 
-class LeaseResult(msgspec.Struct, frozen=True):
+class LeaseResult(
+    msgspec.Struct,
+    frozen=True,
+    rename={"reason": "why", "is_new_grant": "fresh", "remaining_us": "left"},
+):
     """Whether the wish was carried out, and how the lease stands after it. `fresh`: nobody had it before.
     `left`: microseconds until it is free at the soonest, as the leader counts; 0 where that is not known."""
 
@@ -108,9 +120,9 @@
     task: str
     holder: str
     token: int
-    why: str = ""
-    fresh: bool = False
-    left: int = 0
+    reason: str = ""
+    is_new_grant: bool = False
+    remaining_us: int = 0
 
 
 class _StoredTable(msgspec.Struct, array_like=True):
@@ -127,15 +139,15 @@
     """Identical wishes in one order give identical tables. Tokens grow over all tasks together."""
 
     def __init__(self) -> None:
-        self._next = 1
+        self._next_token = 1
         self.leases: dict[str, Lease] = {}
         self.notes: dict[str, Note] = {}
-        self._callers: dict[str, dict[str, tuple[str, int]]] = {}
+        self._last_operations: dict[str, dict[str, tuple[str, int]]] = {}
 
     @property
-    def newest(self) -> int:
+    def newest_token(self) -> int:
         """The newest token that was ever granted."""
-        return self._next - 1
+        return self._next_token - 1
 
     def apply(self, data: bytes) -> LeaseResult:
         wish = _OPERATION_DECODER.decode(data)
@@ -146,41 +158,41 @@
             case ReleaseLease():
                 return self._release(lease, wish)
             case ExpireLease(_, token, renewed):
-                if lease.token != token or lease.renewed != renewed:
-                    return self._told(lease, False, "it was renewed or passed on")
+                if lease.token != token or lease.renewal_count != renewed:
+                    return self._result(lease, False, "it was renewed or passed on")
                 if token:
                     self._free(lease)
                 else:
-                    lease.heir = ""  # the heir did not come
-                    lease.renewed += 1
-                return self._told(lease, True)
+                    lease.successor = ""  # the heir did not come
+                    lease.renewal_count += 1
+                return self._result(lease, True)
             case RevokeLease(_, token, heir):
                 if not token or lease.token != token:
-                    return self._told(lease, False, "another holder has it")
-                lease.ending, lease.heir = True, heir
-                return self._told(lease, True)
+                    return self._result(lease, False, "another holder has it")
+                lease.is_revoked, lease.successor = True, heir
+                return self._result(lease, True)
             case PutNote():
                 return self._put(lease, wish)
 
     def _put(self, lease: Lease, wish: PutNote) -> LeaseResult:
         if not lease.token or lease.token != wish.token:
-            return self._told(lease, False, f"token {wish.token} of '{wish.task}' is not the newest")
+            return self._result(lease, False, f"token {wish.token} of '{wish.task}' is not the newest")
         note = self.notes.get(wish.key)
         if note is not None and (note.version, note.value) == (wish.version, wish.value):
-            return self._told(lease, True)
+            return self._result(lease, True)
         if note is not None and note.version >= wish.version:
             why = f"version {note.version} of the {wish.key} of {note.author} is agreed on, and differs"
-            return self._told(lease, False, why)
+            return self._result(lease, False, why)
         if note is None and len(self.notes) >= MAX_NOTES_COUNT:
-            return self._told(lease, False, f"{MAX_NOTES_COUNT} notes are kept, and no more")
+            return self._result(lease, False, f"{MAX_NOTES_COUNT} notes are kept, and no more")
         self.notes[wish.key] = Note(wish.version, wish.value[:MAX_NOTE_CHARS], wish.token, lease.holder)
-        return self._told(lease, True)
+        return self._result(lease, True)
 
-    def _told(self, lease: Lease, done: bool, why: str = "", fresh: bool = False) -> LeaseResult:
+    def _result(self, lease: Lease, done: bool, why: str = "", fresh: bool = False) -> LeaseResult:
         return LeaseResult(done, lease.task, lease.holder, lease.token, why, fresh)
 
-    def _repeated(self, wish: AcquireLease | ReleaseLease) -> bool:
-        callers = self._callers.setdefault(wish.task, {})
+    def _is_duplicate(self, wish: AcquireLease | ReleaseLease) -> bool:
+        callers = self._last_operations.setdefault(wish.task, {})
         session, number = callers.get(wish.holder, ("", 0))
         if session == wish.session and wish.number <= number:
             return True
@@ -191,42 +203,43 @@
         return False
 
     def _acquire(self, lease: Lease, wish: AcquireLease) -> LeaseResult:
-        if self._repeated(wish):
+        if self._is_duplicate(wish):
             mine = lease.holder == wish.holder and lease.session == wish.session and lease.token > 0
-            return self._told(lease, mine, "" if mine else "asked before")
+            return self._result(lease, mine, "" if mine else "asked before")
         if lease.token and (lease.holder, lease.session) == (wish.holder, wish.session):
-            if lease.ending:
-                return self._told(lease, False, "taken back by hand")
-            lease.renewed += 1
-            return self._told(lease, True)
+            if lease.is_revoked:
+                return self._result(lease, False, "taken back by hand")
+            lease.renewal_count += 1
+            return self._result(lease, True)
         if lease.token:
-            return self._told(lease, False, "held")
-        if lease.heir and lease.heir != wish.holder:
-            return self._told(lease, False, f"kept for {lease.heir}")
+            return self._result(lease, False, "held")
+        if lease.successor and lease.successor != wish.holder:
+            return self._result(lease, False, f"kept for {lease.successor}")
         self.leases[wish.task] = lease
-        lease.holder, lease.session, lease.heir, lease.ending = wish.holder, wish.session, "", False
-        lease.token, self._next = self._next, self._next + 1
-        lease.renewed, lease.granted = 0, lease.granted + 1
-        return self._told(lease, True, fresh=True)
+        lease.holder, lease.session, lease.successor, lease.is_revoked = wish.holder, wish.session, "", False
+        lease.token, self._next_token = self._next_token, self._next_token + 1
+        lease.renewal_count, lease.grant_count = 0, lease.grant_count + 1
+        return self._result(lease, True, fresh=True)
 
     def _release(self, lease: Lease, wish: ReleaseLease) -> LeaseResult:
-        if self._repeated(wish) or lease.token != wish.token or lease.session != wish.session:
-            return self._told(lease, False, "not its holder any more")
-        lease.heir = lease.heir or wish.heir
+        if self._is_duplicate(wish) or lease.token != wish.token or lease.session != wish.session:
+            return self._result(lease, False, "not its holder any more")
+        lease.successor = lease.successor or wish.successor
         self._free(lease)
-        return self._told(lease, True)
+        return self._result(lease, True)
 
     def _free(self, lease: Lease) -> None:
         """An heir keeps its place; `renewed` grows, so that no word about an earlier state fits this one."""
-        lease.holder, lease.session, lease.token, lease.ending = "", "", 0, False
-        lease.renewed += 1
+        lease.holder, lease.session, lease.token, lease.is_revoked = "", "", 0, False
+        lease.renewal_count += 1
 
     def dump(self) -> bytes:
         callers = {
-            task: [(holder, *told) for holder, told in table.items()] for task, table in self._callers.items()
+            task: [(holder, *told) for holder, told in table.items()]
+            for task, table in self._last_operations.items()
         }
         return msgspec.msgpack.encode(
-            _StoredTable(self._next, list(self.leases.values()), callers, self.notes)
+            _StoredTable(self._next_token, list(self.leases.values()), callers, self.notes)
         )
 
     @classmethod
@@ -234,17 +247,17 @@
         table = cls()
         if state:
             dump = _TABLE_DECODER.decode(state)
-            table._next = dump.next_token
+            table._next_token = dump.next_token
             table.leases = {lease.task: lease for lease in dump.leases}
             table.notes = dump.notes
-            table._callers = {
+            table._last_operations = {
                 task: {holder: (session, number) for holder, session, number in callers}
                 for task, callers in dump.callers.items()
             }
         return table
 
     @classmethod
-    def replayed(cls, state: bytes, wishes: Iterable[bytes]) -> LeaseTable:
+    def replay(cls, state: bytes, wishes: Iterable[bytes]) -> LeaseTable:
         table = cls.load(state)
         for wish in wishes:
             table.apply(wish)
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -49,11 +49,11 @@
         tell: Callable[[str, wire.PeerFrame], None], supervisor: Supervisor,
     ) -> None:  # fmt: skip
         super().__init__("promises", supervisor)
-        assert told.copies is not None and told.remember is not None
-        self._deployment, self._remember = deployment, told.remember
+        assert told.copies is not None and told.idempotency_retention_us is not None
+        self._deployment, self._remember = deployment, told.idempotency_retention_us
         self._decider, self._clock, self._tell = decider, clock, tell
-        holders = [Holder(Place(each.name, ""), each.machine, each.zone) for each in told.holders]
-        patience = told.patience // PART
+        holders = [Holder(Place(each.name, ""), each.machine, each.zone) for each in told.replicas]
+        patience = told.peer_timeout_us // PART
         terms = cl.ClaimTerms(told.copies.shards, told.copies.copies, patience, patience // 8)
         self.claims = cl.Claims(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
         self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -162,7 +162,7 @@
 
     async def _beacons(self) -> None:
         """Several in a lease; whoever decides is looked for while none is answered."""
-        length = self._terms.leases.length
+        length = self._terms.leases.duration_us
         while True:
             now = clock.boot_clock()
             if now - self._answered > length // 2:
@@ -178,7 +178,7 @@
             now = clock.boot_clock()
             self._beat += 1
             kept = self._beats.items()
-            self._beats = {number: at for number, at in kept if now - at < self._terms.leases.length}
+            self._beats = {number: at for number, at in kept if now - at < self._terms.leases.duration_us}
             self._beats[self._beat] = now
             told, joined = self.replicas, self.replicas.joined()
             beat = wire.ReplicaHeartbeat(
@@ -340,7 +340,7 @@
         self._work: asyncio.Task[None] | None = None
         self._running = False
 
-    def begin(self, token: int) -> None:
+    def activate(self, token: int) -> None:
         self._token = token
         if not self._running:
             self._running = True
@@ -355,12 +355,12 @@
 
     async def _manage(self, token: int) -> None:
         while (view := await self._look()) is None or self._around.may_act() != token:
-            await asyncio.sleep(self._terms.leases.length / US / 8)  # a renewal that is late is no end
+            await asyncio.sleep(self._terms.leases.duration_us / US / 8)  # a renewal that is late is no end
         self._manager = ShardController(self._terms, self._assigned(view), clock.boot_clock())
         self.post(mg.Drained(self._drained(view)))
         while True:
             self.post(mg.Tick())
-            await asyncio.sleep(self._terms.leases.length / US / 20)
+            await asyncio.sleep(self._terms.leases.duration_us / US / 20)
 
     def _assigned(self, view: dict[str, Any]) -> tuple[Assigned, ...]:
         notes = view["notes"].items()
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -59,13 +59,13 @@
         supervisor: Supervisor,
     ) -> None:
         super().__init__("leases", supervisor)
-        names = [each.name for each in told.keepers]
+        names = [each.name for each in told.quorum_members]
         session = f"{name}-{uuid.uuid4().hex[:12]}"
-        self.holder = hold.LeaseHolder(name, session, names, told.leases, seed)
-        self._ask = ask
+        self.holder = hold.LeaseHolder(name, session, names, told.lease_timing, seed)
+        self._send_operation = ask
         self._timer: asyncio.TimerHandle | None = None
-        self.since: dict[str, int] = {}
-        self.token: dict[str, int] = {}
+        self.held_since: dict[str, int] = {}
+        self.tokens: dict[str, int] = {}
         self.tasks: dict[str, FleetTask] = {
             task: makers[task](TaskContext(name, self._may_act(task), decider.post, supervisor, agree))
             for task in told.tasks
@@ -85,28 +85,28 @@
         for action in self.holder.handle(now, message):
             match action:
                 case hold.SendLeaseOperation(number, keeper, wish):
-                    self._ask(keeper, number, wish)
+                    self._send_operation(keeper, number, wish)
                 case hold.StartTask(task, token):
-                    self.since[task], self.token[task] = now, token
+                    self.held_since[task], self.tokens[task] = now, token
                     self.supervisor.counters.add("leases got")
                     self._say(task, token, f"held here under token {token}")
-                    self.tasks[task].begin(token)
+                    self.tasks[task].activate(token)
                 case hold.StopTask(task, token, why):
-                    self.since.pop(task, None)
-                    self.token.pop(task, None)
+                    self.held_since.pop(task, None)
+                    self.tokens.pop(task, None)
                     self.supervisor.counters.add("leases ended")
                     self._say(task, token, f"token {token} not held here any more: {why}")
                     self.tasks[task].stop(why)
         if self._timer is not None:
             self._timer.cancel()
-        pause = max(1000, self.holder.next_at - clock.boot_clock())
+        pause = max(1000, self.holder.next_timer_at - clock.boot_clock())
         self._timer = asyncio.get_running_loop().call_later(pause / US, self.post, hold.LeaseTimeAdvanced())
 
-    def anew(self) -> None:
+    def restart_tasks(self) -> None:
         """What tasks rest on was read anew."""
-        for task, token in self.token.items():
+        for task, token in self.tokens.items():
             self.tasks[task].stop("its settings were read anew")
-            self.tasks[task].begin(token)
+            self.tasks[task].activate(token)
 
     def _say(self, task: str, token: int, text: str) -> None:
         self.supervisor.log.write("lease", f"{task}: {text}", "info", task=task, token=token)
@@ -129,108 +129,127 @@
     ) -> None:
         """Raises LogTrouble where this keeper's log can't be trusted."""
         seed = deployment.started.seed
-        self._told, self._name, self._supervisor = told, name, supervisor
-        self._asked: dict[int, asyncio.Future[wire.QuorumReply]] = {}
+        self._settings, self._name, self._supervisor = told, name, supervisor
+        self._pending_replies: dict[int, asyncio.Future[wire.QuorumReply]] = {}
         self._number = 0
-        manners = PeerLimits(told.group, name, told.patience, told.callers)
-        idle = 3 * told.leases.length
-        others: tuple[QuorumMemberAddress, ...] = (*told.keepers, *told.holders)
+        manners = PeerLimits(told.group, name, told.peer_timeout_us, told.max_peer_connections)
+        idle = 3 * told.lease_timing.duration_us
+        others: tuple[QuorumMemberAddress, ...] = (*told.quorum_members, *told.replicas)
         self.links = {
-            each.name: PeerLink(each.name, (each.host, each.port), manners, idle, self._told_by, supervisor)
+            each.name: PeerLink(
+                each.name, (each.host, each.port), manners, idle, self._on_link_frame, supervisor
+            )
             for each in others
             if each.name != name
         }
-        self.keeper: RaftActor | None = None
+        self.raft_actor: RaftActor | None = None
         self._server: PeerServer | None = None
         self.copies: CopiesActor | None = None
-        self._manager: ManagerTask | None = None
-        here = told.keeper(name) or told.holder(name)
+        self._shard_control_task: ManagerTask | None = None
+        here = told.quorum_member(name) or told.replica(name)
         if here is not None:
-            self._server = PeerServer(told.listen or (here.host, here.port), manners, self._heard, supervisor)
-        if told.keeper(name) is not None:
+            self._server = PeerServer(
+                told.listen or (here.host, here.port), manners, self._on_frame, supervisor
+            )
+        if told.quorum_member(name) is not None:
             assert told.store is not None
             try:
                 store = open_store(told.store)
             except DiskError as error:
                 store = None
                 supervisor.log.write("quorum", f"this keeper stands still: {error}", "error")
-            named = tuple(each.name for each in told.keepers)
-            terms = RaftActorOptions(name, told.store, named, told.pace, told.leases, seed)
-            self.keeper = RaftActor(terms, store, self._carry, supervisor)
-        self.brings: dict[str, tuple[int, str]] = {}  # by key: version and value that this gateway knows
+            named = tuple(each.name for each in told.quorum_members)
+            terms = RaftActorOptions(name, told.store, named, told.raft_timing, told.lease_timing, seed)
+            self.raft_actor = RaftActor(terms, store, self._send_envelope, supervisor)
+        self.proposed_notes: dict[
+            str, tuple[int, str]
+        ] = {}  # by key: version and value that this gateway knows
         makers = dict(TASK_FACTORIES)
         if told.copies is not None:
             makers[SHARD_CONTROL_TASK] = self._make_manager
-        self._desk: HealthReportService | None = None
-        self.hearsay: PeerReportsActor | None = None
-        if told.examine is not None:
+        self._health_report_service: HealthReportService | None = None
+        self.health_reports: PeerReportsActor | None = None
+        if told.health_checks is not None:
             from lotusstream.net.health_checks import HealthCheckTask, HealthReportService, PeerReportsActor
 
-            examine, wait = told.examine, deployment.connect_timeout
-            keepers = tuple(each.name for each in told.keepers)
+            examine, wait = told.health_checks, deployment.connect_timeout
+            keepers = tuple(each.name for each in told.quorum_members)
             makers[HEALTH_CHECK_TASK] = lambda around: HealthCheckTask(
-                around, examine, wait, decider, keepers, self._tell
+                around, examine, wait, decider, keepers, self._send_frame
             )
-            self.hearsay = PeerReportsActor(name, keepers, examine, self._tell, decider, supervisor)
-            if self.keeper is not None:
-                self._desk = HealthReportService(examine, self._newest_examiner)
-        if (holds := told.holder(name)) is not None and told.copies is not None:
+            self.health_reports = PeerReportsActor(
+                name, keepers, examine, self._send_frame, decider, supervisor
+            )
+            if self.raft_actor is not None:
+                self._health_report_service = HealthReportService(examine, self._newest_health_check_token)
+        if (holds := told.replica(name)) is not None and told.copies is not None:
             from lotusstream.net.copies import CopiesActor
 
             assert told.store is not None
             machine, zone = holds.machine, holds.zone
             self.copies = CopiesActor(
-                name, machine, zone, told.copies, told.store, self._tell, self._look, supervisor
+                name,
+                machine,
+                zone,
+                told.copies,
+                told.store,
+                self._send_frame,
+                self._read_lease_table,
+                supervisor,
             )
-        self.promises: CommitmentActor | None = None
-        if told.remember is not None:
+        self.commitments: CommitmentActor | None = None
+        if told.idempotency_retention_us is not None:
             from lotusstream.net.commitments import CommitmentActor
 
-            self.promises = CommitmentActor(name, told, deployment, decider, clock, self._tell, supervisor)
-            decider.gate = self.promises
-        self.holder = LeaseHolderActor(name, told, seed, self._ask, self._agree, makers, decider, supervisor)
+            self.commitments = CommitmentActor(
+                name, told, deployment, decider, clock, self._send_frame, supervisor
+            )
+            decider.gate = self.commitments
+        self.lease_holder = LeaseHolderActor(
+            name, told, seed, self._send_operation, self._agree_on_note, makers, decider, supervisor
+        )
 
     def start(self) -> None:
         """Raises OSError where peers can't be taken."""
         if self._server is not None:
             self._server.start()
-        if self.keeper is not None:
-            self.keeper.start()
+        if self.raft_actor is not None:
+            self.raft_actor.start()
         for link in self.links.values():
             link.start()
-        self.holder.start()
+        self.lease_holder.start()
         if self.copies is not None:
             self.copies.start()
-        if self.promises is not None:
-            self.promises.start()
-        if self.hearsay is not None:
-            self.hearsay.start()
+        if self.commitments is not None:
+            self.commitments.start()
+        if self.health_reports is not None:
+            self.health_reports.start()
 
     def leave(self) -> None:
         """A planned stop: leases are released and leadership is handed over, as far as that goes at once."""
         if self.copies is not None:
             self.copies.leave()
-        for task in self.holder.tasks:
-            self.holder.post(hold.LeaseUnwanted(task))
-        if self.keeper is not None:
-            self.keeper.post(ev.ShutdownRequested())
+        for task in self.lease_holder.tasks:
+            self.lease_holder.post(hold.LeaseUnwanted(task))
+        if self.raft_actor is not None:
+            self.raft_actor.post(ev.ShutdownRequested())
 
     async def stop(self) -> None:
-        await self.holder.stop()
+        await self.lease_holder.stop()
         if self.copies is not None:
             await self.copies.stop()
         if self._server is not None:
             self._server.stop()
-        if self.keeper is not None:
-            await self.keeper.stop()
+        if self.raft_actor is not None:
+            await self.raft_actor.stop()
 
     # Words of others
 
-    def _heard(self, frame: wire.PeerFrame, sender: str, answer: ReplyCallback) -> None:
+    def _on_frame(self, frame: wire.PeerFrame, sender: str, answer: ReplyCallback) -> None:
         """By a connection that another gateway has opened."""
         if isinstance(frame, wire.ReplicaHeartbeat):
-            if self._manager is not None:
-                self._manager.post(frame)
+            if self._shard_control_task is not None:
+                self._shard_control_task.post(frame)
             return
         if isinstance(frame, wire.ReplicationFrame) and frame.source.name != sender:
             return
@@ -238,39 +257,39 @@
             if self.copies is not None:
                 self.copies.heard(frame, answer)
             return
-        if self.keeper is None:
+        if self.raft_actor is None:
             return
-        if self._desk is not None and isinstance(frame, wire.HealthReportSubscription):
-            self._desk.hear(frame, sender, answer)
-        elif self._desk is not None and isinstance(frame, wire.HealthReportFrame):
-            self._desk.take(frame.news)
+        if self._health_report_service is not None and isinstance(frame, wire.HealthReportSubscription):
+            self._health_report_service.hear(frame, sender, answer)
+        elif self._health_report_service is not None and isinstance(frame, wire.HealthReportFrame):
+            self._health_report_service.take(frame.reports)
         match frame:
             case wire.RaftFrame(envelope):
                 if envelope.sender == sender:
-                    self.keeper.post(ev.MessageReceived(envelope))
+                    self.raft_actor.post(ev.MessageReceived(envelope))
             case wire.LeaseOperationRequest(number, wish):
-                self.keeper.post(LeaseOperationReceived(answer, number, wish))
+                self.raft_actor.post(LeaseOperationReceived(answer, number, wish))
             case wire.LeaseTableRequest(number):
-                self.keeper.post(LeaseTableReadReceived(answer, number))
+                self.raft_actor.post(LeaseTableReadReceived(answer, number))
             case wire.MembershipChangeRequest(number, name, add):
-                self.keeper.post(MembershipChangeReceived(answer, number, name, add))
+                self.raft_actor.post(MembershipChangeReceived(answer, number, name, add))
 
-    def _told_by(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
+    def _on_link_frame(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
         if isinstance(frame, wire.QuorumReply):
-            self._take(frame)
+            self._on_quorum_reply(frame)
         else:
-            self._answered(frame)
+            self._on_reply_frame(frame)
 
-    def _answered(self, frame: wire.PeerFrame) -> None:
+    def _on_reply_frame(self, frame: wire.PeerFrame) -> None:
         """By another gateway, or by this one to itself."""
-        if self.promises is not None and isinstance(frame, wire.CommitmentReply):
-            self.promises.post(frame)
-        elif self.hearsay is not None and isinstance(frame, wire.HealthReportFrame):
-            self.hearsay.heard(frame)
+        if self.commitments is not None and isinstance(frame, wire.CommitmentReply):
+            self.commitments.post(frame)
+        elif self.health_reports is not None and isinstance(frame, wire.HealthReportFrame):
+            self.health_reports.heard(frame)
 
-    def _newest_examiner(self) -> int:
+    def _newest_health_check_token(self) -> int:
         """Its token, as far as this keeper has heard."""
-        desk = self.keeper.desk if self.keeper is not None else None
+        desk = self.raft_actor.service if self.raft_actor is not None else None
         lease = desk.table.leases.get(HEALTH_CHECK_TASK) if desk is not None else None
         return lease.token if lease is not None else 0
 
@@ -279,63 +298,65 @@
     def _make_manager(self, around: TaskContext) -> FleetTask:
         from lotusstream.net.copies import ManagerTask
 
-        assert self._told.copies is not None
-        self._manager = ManagerTask(around, self._told.copies, self._tell, self._put, self._look)
-        return self._manager
+        assert self._settings.copies is not None
+        self._shard_control_task = ManagerTask(
+            around, self._settings.copies, self._send_frame, self._put_note, self._read_lease_table
+        )
+        return self._shard_control_task
 
-    def _tell(self, name: str, frame: wire.PeerFrame) -> None:
+    def _send_frame(self, name: str, frame: wire.PeerFrame) -> None:
         if name == self._name:
-            self._heard(frame, name, self._answered)
+            self._on_frame(frame, name, self._on_reply_frame)
         elif (link := self.links.get(name)) is not None:
             link.put(frame)
 
-    async def _look(self) -> dict[str, Any] | None:
+    async def _read_lease_table(self) -> dict[str, Any] | None:
         try:
-            return (await self._question(wire.LeaseTableRequest)).view
+            return (await self._ask_leader(wire.LeaseTableRequest)).view
         except ControlRejectedError:
             return None
 
-    async def _put(
+    async def _put_note(
         self, key: str, version: int, value: str, token: int, task: str = SHARD_CONTROL_TASK
     ) -> str:
         """Why a note is not agreed on, or ''."""
         wish = PutNote(task, token, key, version, value)
         try:
-            told = await self._question(lambda number: wire.LeaseOperationRequest(number, wish))
+            told = await self._ask_leader(lambda number: wire.LeaseOperationRequest(number, wish))
         except ControlRejectedError as error:
             return str(error)
-        return "" if told.granted is not None and told.granted.done else (told.granted or told).why
+        return "" if told.result is not None and told.result.done else (told.result or told).reason
 
-    def _take(self, told: wire.QuorumReply) -> None:
-        if (waiting := self._asked.pop(told.number, None)) is not None:
+    def _on_quorum_reply(self, told: wire.QuorumReply) -> None:
+        if (waiting := self._pending_replies.pop(told.number, None)) is not None:
             if not waiting.done():
                 waiting.set_result(told)
-        elif told.number == LEASE_FREED_NUMBER and told.granted is not None:
-            self.holder.post(hold.LeaseFreed(told.granted.task))
+        elif told.number == LEASE_FREED_NUMBER and told.result is not None:
+            self.lease_holder.post(hold.LeaseFreed(told.result.task))
         else:
-            self.holder.post(hold.LeaseReplyReceived(told.number, told.granted, told.leader))
+            self.lease_holder.post(hold.LeaseReplyReceived(told.number, told.result, told.leader))
 
-    def _carry(self, envelope: RaftEnvelope) -> None:
-        if (link := self.links.get(envelope.to)) is not None:
+    def _send_envelope(self, envelope: RaftEnvelope) -> None:
+        if (link := self.links.get(envelope.recipient)) is not None:
             link.put(wire.RaftFrame(envelope))
 
-    def _ask(self, keeper: str, number: int, wish: Any) -> None:
-        if keeper == self._name and self.keeper is not None:
-            self.keeper.post(LeaseOperationReceived(self._take, number, wish))
+    def _send_operation(self, keeper: str, number: int, wish: Any) -> None:
+        if keeper == self._name and self.raft_actor is not None:
+            self.raft_actor.post(LeaseOperationReceived(self._on_quorum_reply, number, wish))
         elif (link := self.links.get(keeper)) is not None:
             link.put(wire.LeaseOperationRequest(number, wish))
 
-    async def _agree(self, key: str, token: int, task: str) -> str:
+    async def _agree_on_note(self, key: str, token: int, task: str) -> str:
         """Why what this gateway brings is not agreed on, or ''."""
-        version, value = self.brings.get(key, (0, ""))
-        return await self._put(key, version, value, token, task)
+        version, value = self.proposed_notes.get(key, (0, ""))
+        return await self._put_note(key, version, value, token, task)
 
-    def bring(self, key: str, version: int, value: str) -> None:
-        if self.brings.get(key) != (version, value):
-            self.brings[key] = (version, value)
-            self.holder.anew()
+    def propose_note(self, key: str, version: int, value: str) -> None:
+        if self.proposed_notes.get(key) != (version, value):
+            self.proposed_notes[key] = (version, value)
+            self.lease_holder.restart_tasks()
 
-    def held(self) -> dict[str, Any]:
+    def replica_status(self) -> dict[str, Any]:
         """What this gateway holds for others."""
         if self.copies is None:
             raise ControlRejectedError(
@@ -345,51 +366,53 @@
 
     async def drain(self, machine: str, undo: bool) -> dict[str, Any]:
         """Raises ControlRejectedError."""
-        if self._told.copies is None:
+        if self._settings.copies is None:
             raise ControlRejectedError("absent", "the operator file has no 'copies'")
-        if machine not in (known := sorted({each.machine for each in self._told.holders})):
+        if machine not in (known := sorted({each.machine for each in self._settings.replicas})):
             raise ControlRejectedError(
                 "unknown", f"no machine '{machine}' in the operator file: it has {', '.join(known)}"
             )
-        if self._manager is None or not self._manager.decides:
+        if self._shard_control_task is None or not self._shard_control_task.decides:
             agreed = (await self.quorum())["agreed"] or {"leases": ()}
             holder = next(
                 (row["holder"] for row in agreed["leases"] if row["task"] == SHARD_CONTROL_TASK), ""
             )
             raise ControlRejectedError("busy", f"'{holder or 'nobody'}' decides on copies: ask there")
-        return await self._manager.drain(machine, undo)
+        return await self._shard_control_task.drain(machine, undo)
 
     # For operators
 
-    async def _question(self, make: Any) -> wire.QuorumReply:
+    async def _ask_leader(self, make: Any) -> wire.QuorumReply:
         """Asks one keeper after the other for the leader's answer. Raises ControlRejectedError."""
         self._number -= 1  # those of the holder grow
-        order, why = [each.name for each in self._told.keepers], "no keeper answers"
+        order, why = [each.name for each in self._settings.quorum_members], "no keeper answers"
         for _ in range(len(order) + 2):
             if not order:
                 break
             name, number = order.pop(0), self._number
             waiting: asyncio.Future[wire.QuorumReply] = asyncio.get_running_loop().create_future()
-            self._asked[number] = waiting
-            if name == self._name and self.keeper is not None:
+            self._pending_replies[number] = waiting
+            if name == self._name and self.raft_actor is not None:
                 match make(number):
                     case wire.LeaseTableRequest():
-                        self.keeper.post(LeaseTableReadReceived(self._take, number))
+                        self.raft_actor.post(LeaseTableReadReceived(self._on_quorum_reply, number))
                     case wire.MembershipChangeRequest(_, who, add):
-                        self.keeper.post(MembershipChangeReceived(self._take, number, who, add))
+                        self.raft_actor.post(
+                            MembershipChangeReceived(self._on_quorum_reply, number, who, add)
+                        )
                     case wire.LeaseOperationRequest(_, wish):
-                        self.keeper.post(LeaseOperationReceived(self._take, number, wish))
+                        self.raft_actor.post(LeaseOperationReceived(self._on_quorum_reply, number, wish))
             else:
                 self.links[name].put(make(number))
             try:
                 told = await asyncio.wait_for(waiting, QUORUM_REPLY_TIMEOUT_S / 3)
             except TimeoutError:
-                self._asked.pop(number, None)
+                self._pending_replies.pop(number, None)
                 continue
             self._number -= 1
-            if told.done or (told.granted is not None):
+            if told.done or (told.result is not None):
                 return told
-            why = told.why or why
+            why = told.reason or why
             if told.leader in order:
                 order.remove(told.leader)
                 order.insert(0, told.leader)
@@ -398,52 +421,54 @@
         raise ControlRejectedError("busy", why)
 
     def peers(self) -> dict[str, Any]:
-        callers = dict(self._server.callers) if self._server else {}
-        links = {name: link.standing for name, link in self.links.items()}
-        return {"name": self._name, "group": self._told.group, "links": links, "callers": callers}
+        callers = dict(self._server.connection_counts) if self._server else {}
+        links = {name: link.status for name, link in self.links.items()}
+        return {"name": self._name, "group": self._settings.group, "links": links, "callers": callers}
 
     async def quorum(self) -> dict[str, Any]:
-        here = self.keeper.view() if self.keeper else None
+        here = self.raft_actor.view() if self.raft_actor else None
         try:
-            view = (await self._question(wire.LeaseTableRequest)).view
+            view = (await self._ask_leader(wire.LeaseTableRequest)).view
             return {"here": here, "agreed": view, "why": ""}
         except ControlRejectedError as error:
             return {"here": here, "agreed": None, "why": str(error)}
 
-    async def change(self, name: str, add: bool) -> dict[str, Any]:
-        if add and self._told.keeper(name) is None:
-            known = ", ".join(each.name for each in self._told.keepers)
+    async def change_membership(self, name: str, add: bool) -> dict[str, Any]:
+        if add and self._settings.quorum_member(name) is None:
+            known = ", ".join(each.name for each in self._settings.quorum_members)
             raise ControlRejectedError("unknown", f"no keeper '{name}' in the operator file: it has {known}")
-        await self._question(lambda number: wire.MembershipChangeRequest(number, name, add))
+        await self._ask_leader(lambda number: wire.MembershipChangeRequest(number, name, add))
         return await self.quorum()
 
     async def leases(self) -> dict[str, Any]:
         told = await self.quorum()
         now = clock.boot_clock()
-        holding = {task: self.holder.holder.may_act(now, task) for task in self.holder.tasks}
-        since = {task: now - at for task, at in self.holder.since.items()}
+        holding = {task: self.lease_holder.holder.may_act(now, task) for task in self.lease_holder.tasks}
+        since = {task: now - at for task, at in self.lease_holder.held_since.items()}
         return {
             "name": self._name,
-            "brings": {key: {"version": told[0], "value": told[1]} for key, told in self.brings.items()},
+            "brings": {
+                key: {"version": told[0], "value": told[1]} for key, told in self.proposed_notes.items()
+            },
             "here": holding,
             "held_us": since,
             "agreed": told["agreed"],
             "why": told["why"],
-            "examined": self.hearsay.view() if self.hearsay is not None else None,
+            "examined": self.health_reports.view() if self.health_reports is not None else None,
         }
 
-    async def give_up(self, task: str, heir: str) -> dict[str, Any]:
+    async def revoke_lease(self, task: str, heir: str) -> dict[str, Any]:
         """Takes a lease from whoever has it: released at once if that is this gateway."""
         found = await self.leases()
         rows = {row["task"]: row for row in (found["agreed"] or {}).get("leases", [])}
         if task not in rows or not rows[task]["token"]:
             raise ControlRejectedError("unknown", f"nobody holds '{task}'")
-        if rows[task]["holder"] == self._name and task in self.holder.tasks:
-            self.holder.post(hold.LeaseUnwanted(task, heir))
-            self.holder.post(hold.LeaseWanted(task))
+        if rows[task]["holder"] == self._name and task in self.lease_holder.tasks:
+            self.lease_holder.post(hold.LeaseUnwanted(task, heir))
+            self.lease_holder.post(hold.LeaseWanted(task))
         else:
             wish = RevokeLease(task, rows[task]["token"], heir)
-            told = await self._question(lambda number: wire.LeaseOperationRequest(number, wish))
-            if told.granted is not None and not told.granted.done:
-                raise ControlRejectedError("unknown", told.granted.why)
+            told = await self._ask_leader(lambda number: wire.LeaseOperationRequest(number, wish))
+            if told.result is not None and not told.result.done:
+                raise ControlRejectedError("unknown", told.result.reason)
         return await self.leases()
--- a/lotusstream/net/health_checks.py
+++ b/lotusstream/net/health_checks.py
@@ -56,7 +56,7 @@
         self._work: asyncio.Task[None] | None = None
         self._running = False
 
-    def begin(self, token: int) -> None:
+    def activate(self, token: int) -> None:
         self.stop("begun anew")
         if not self._running:
             self._running = True
@@ -148,7 +148,7 @@
     def hear(self, frame: wire.HealthReportSubscription, sender: str, answer: Answer) -> None:
         now = clock.boot_clock()
         self._callers.pop(sender, None)
-        self._callers[sender] = (answer, now + min(frame.span, 2 * self._terms.old))
+        self._callers[sender] = (answer, now + min(frame.duration_us, 2 * self._terms.old))
         if len(self._callers) > CALLERS:
             del self._callers[next(iter(self._callers))]
         if self._news is not None and now - self._came < self._terms.old:
@@ -185,7 +185,7 @@
             await asyncio.sleep(self._terms.every / US)
 
     def heard(self, frame: wire.HealthReportFrame) -> None:
-        self.post(hs.Heard(frame.news, frame.late))
+        self.post(hs.Heard(frame.reports, frame.age_us))
 
     async def receive(self, message: hs.Event) -> None:
         for action in self.hearsay.handle(clock.boot_clock(), message):
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -144,15 +144,15 @@
             case wire.Quorum():
                 return await self._fleet_part().quorum()
             case wire.ChangeKeeper(name, add):
-                return await self._fleet_part().change(name, add)
+                return await self._fleet_part().change_membership(name, add)
             case wire.Leases():
                 return await self._fleet_part().leases()
             case wire.Drain(machine, undo):
                 return await self._fleet_part().drain(machine, undo)
             case wire.Copies():
-                return self._fleet_part().held()
+                return self._fleet_part().replica_status()
             case wire.GiveUpLease(task, heir):
-                return await self._fleet_part().give_up(task, heir)
+                return await self._fleet_part().revoke_lease(task, heir)
         raise ControlRejectedError("unknown", "no such request")
 
     def _fleet_part(self) -> Fleet:
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -7,7 +7,7 @@
 import threading
 import uuid
 from collections.abc import Callable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -21,6 +21,7 @@
     LeaseTableReadReceived,
     MembershipChangeReceived,
 )
+from lotusstream.leases.table import Lease, Note
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import US
@@ -66,15 +67,15 @@
 
     name: str
     folder: str
-    named: tuple[str, ...]
-    pace: RaftTiming
-    leases: LeaseTiming
+    member_names: tuple[str, ...]
+    raft_timing: RaftTiming
+    lease_timing: LeaseTiming
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
 class _StoreFailed:
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +91,7 @@
         self, log: Log, told: Callable[[ev.RecordsPersisted | _StoreFailed], None], supervisor: Supervisor
     ) -> None:
         super().__init__("quorum store", supervisor)
-        self._log, self._told, self._failed = log, told, False
+        self._log, self._notify, self._failed = log, told, False
         self._writing = threading.Lock()  # a task that is ended leaves its thread at work
 
     async def receive(self, message: ev.PersistRecords) -> None:
@@ -103,13 +104,13 @@
             await asyncio.to_thread(self._write, saves)
         except DiskError as error:
             self._failed = True
-            self._told(_StoreFailed(str(error)))
+            self._notify(_StoreFailed(str(error)))
             return
         self.supervisor.counters.add("quorum syncs")
-        self._told(ev.RecordsPersisted(saves[-1].number))
+        self._notify(ev.RecordsPersisted(saves[-1].number))
 
     def _write(self, saves: list[ev.PersistRecords]) -> None:
-        whole = max((at for at, save in enumerate(saves) if save.rewrite), default=None)
+        whole = max((at for at, save in enumerate(saves) if save.replace_log), default=None)
         payloads = [msgspec.msgpack.encode(record) for save in saves[whole or 0 :] for record in save.records]
         with self._writing:
             if whole is not None:
@@ -148,14 +149,14 @@
         supervisor: Supervisor,
     ) -> None:
         super().__init__("keeper", supervisor)
-        self._terms, self._say = terms, say
-        self.desk: LeaseService | None = None
+        self._options, self._send = terms, say
+        self.service: LeaseService | None = None
         self._store: StoreWriter | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0
-        self.trouble = "" if store else "its disk can't be used"
-        self._given = store
-        self._starts = 0
+        self._timer_at = 0
+        self.fault = "" if store else "its disk can't be used"
+        self._initial_store = store
+        self._start_count = 0
 
     def start(self) -> None:
         super().start()
@@ -167,19 +168,17 @@
                 await self._open()
                 return
             case _StoreFailed(why):
-                await self._shut(why)
+                await self._close_after_failure(why)
                 return
-        if self.desk is None:
+        if self.service is None:
             if isinstance(
                 message, LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived
             ):
-                self._answer(
-                    LeaseServiceReply(
-                        message.caller, message.number, None, "", self.trouble or "not open yet"
-                    )
+                self._send_reply(
+                    LeaseServiceReply(message.caller, message.number, None, "", self.fault or "not open yet")
                 )
             return
-        self._carry_out(self.desk.handle(clock.boot_clock(), message))
+        self._carry_out(self.service.handle(clock.boot_clock(), message))
         self._schedule()
 
     # The disk
@@ -187,45 +186,45 @@
     async def _open(self) -> None:
         """From what the disk has, whatever was known here before."""
         try:
-            if (given := self._given) is None:
-                given = await asyncio.to_thread(open_store, self._terms.folder)
+            if (given := self._initial_store) is None:
+                given = await asyncio.to_thread(open_store, self._options.folder)
         except Exception as error:
-            self._trouble(str(error))
+            self._report_store_failure(str(error))
             return
         log, found = given
-        self._given, self.trouble = None, ""
-        self._store = StoreWriter(log, self._stored(self._starts + 1), self.supervisor)
+        self._initial_store, self.fault = None, ""
+        self._store = StoreWriter(log, self._store_callback(self._start_count + 1), self.supervisor)
         self._store.start()
-        self._starts += 1
-        terms, now = self._terms, clock.boot_clock()
+        self._start_count += 1
+        terms, now = self._options, clock.boot_clock()
         fresh = f"{terms.name}-{uuid.uuid4().hex[:12]}"
-        seed = terms.seed + self._starts
-        keeper = RaftNode(terms.name, found, fresh, terms.named, terms.pace, seed, now)
-        self.desk = LeaseService(keeper, terms.leases)
-        self._due = 0
+        seed = terms.seed + self._start_count
+        keeper = RaftNode(terms.name, found, fresh, terms.member_names, terms.raft_timing, seed, now)
+        self.service = LeaseService(keeper, terms.lease_timing)
+        self._timer_at = 0
         self.post(ev.RaftTimeAdvanced())
 
-    def _stored(self, start: int) -> Callable[[ev.RecordsPersisted | _StoreFailed], None]:
+    def _store_callback(self, start: int) -> Callable[[ev.RecordsPersisted | _StoreFailed], None]:
         def told(event: ev.RecordsPersisted | _StoreFailed) -> None:
-            if self._starts == start:
+            if self._start_count == start:
                 self.post(event)
 
         return told
 
-    async def _shut(self, why: str) -> None:
+    async def _close_after_failure(self, why: str) -> None:
         """This keeper is as if killed: it says nothing more, and another begins from the disk."""
-        desk, self.desk = self.desk, None
+        desk, self.service = self.service, None
         if self._timer is not None:
             self._timer.cancel()
         if self._store is not None:
             await self._store.stop()
-        self._trouble(why)
+        self._report_store_failure(why)
         if desk is not None:
-            for caller, number in desk.waiting():
-                self._answer(LeaseServiceReply(caller, number, None, "", why))
+            for caller, number in desk.pending_requests():
+                self._send_reply(LeaseServiceReply(caller, number, None, "", why))
 
-    def _trouble(self, why: str) -> None:
-        self.trouble = why
+    def _report_store_failure(self, why: str) -> None:
+        self.fault = why
         self.supervisor.counters.add("quorum disk failures")
         self.supervisor.log.write("quorum", f"this keeper stands still: {why}", "error", why=why)
         asyncio.get_running_loop().call_later(REOPEN_DELAY_S, self.post, _OpenStore())
@@ -240,15 +239,15 @@
                     assert self._store is not None
                     self._store.post(action)
                 case ev.SendMessage(envelope):
-                    self._say(envelope)
+                    self._send(envelope)
                 case LeaseServiceReply():
-                    self._answer(action)
+                    self._send_reply(action)
                 case ev.ReportRoleChange(role, term, leader, why):
                     self.supervisor.counters.add(f"quorum became {role}")
                     text = f"{role} in term {term}" + (f", {leader} leads" if leader else "") + f": {why}"
                     log.write(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
                 case ev.ReportMembershipChange(index, members):
-                    names = [f"{each.name}{'' if each.voter else ' (learner)'}" for each in members]
+                    names = [f"{each.name}{'' if each.is_voter else ' (learner)'}" for each in members]
                     log.write(
                         "keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names
                     )
@@ -263,60 +262,56 @@
                         token=granted.token,
                     )
 
-    def _answer(self, reply: LeaseServiceReply) -> None:
+    def _send_reply(self, reply: LeaseServiceReply) -> None:
         assert callable(reply.caller)
-        view = self.view() if reply.done and reply.granted is None else None
-        told = wire.QuorumReply(reply.number, reply.done, reply.granted, reply.leader, reply.why, view)
+        view = self.view() if reply.done and reply.result is None else None
+        told = wire.QuorumReply(reply.number, reply.done, reply.result, reply.leader, reply.reason, view)
         reply.caller(told)
 
     def _schedule(self) -> None:
-        assert self.desk is not None
-        now, at = clock.boot_clock(), self.desk.next_at
-        if self._timer is not None and now < self._due <= at:
+        assert self.service is not None
+        now, at = clock.boot_clock(), self.service.next_timer_at
+        if self._timer is not None and now < self._timer_at <= at:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._due = max(at, now + 1000)
+        self._timer_at = max(at, now + 1000)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later((self._due - now) / US, self._fire)
+        self._timer = loop.call_later((self._timer_at - now) / US, self._on_timer)
 
-    def _fire(self) -> None:
+    def _on_timer(self) -> None:
         """Maybe a little early: the loop's timers count whole milliseconds."""
         self._timer = None
         self.post(ev.RaftTimeAdvanced())
 
     def view(self) -> dict[str, Any]:
         """As it stands here, for people; ages in microseconds."""
-        if self.desk is None:
-            return {"role": "none", "trouble": self.trouble}
-        keeper = self.desk.keeper
-        lag = keeper.lag()
+        if self.service is None:
+            return {"role": "none", "trouble": self.fault}
+        keeper = self.service.node
+        lag = keeper.replication_lag()
         return {
             "name": keeper.name,
-            "disk": keeper.disk,
+            "disk": keeper.incarnation,
             "role": keeper.role,
             "term": keeper.term,
             "leader": keeper.leader,
-            "group": keeper.group,
-            "commit": keeper.commit,
-            "last": keeper.journal.last,
+            "group": keeper.cluster_id,
+            "commit": keeper.commit_index,
+            "last": keeper.log.last_index,
             "trouble": "",
             "members": [
-                {"name": each.name, "disk": each.disk, "voter": each.voter, "behind": lag.get(each.disk)}
-                for each in keeper.members
-            ],
-            "leases": [
                 {
-                    name: getattr(lease, name)
-                    for name in ("task", "holder", "token", "renewed", "heir", "ending", "granted")
+                    "name": each.name,
+                    "disk": each.incarnation,
+                    "voter": each.is_voter,
+                    "behind": lag.get(each.incarnation),
                 }
-                for lease in self.desk.table.leases.values()
+                for each in keeper.members
             ],
-            "notes": {
-                key: {name: getattr(note, name) for name in ("version", "value", "token", "author")}
-                for key, note in self.desk.table.notes.items()
-            },
-            "terms": asdict(self._terms.leases),
+            "leases": [_lease_view(lease) for lease in self.service.table.leases.values()],
+            "notes": {key: _note_view(note) for key, note in self.service.table.notes.items()},
+            "terms": _timing_view(self._options.lease_timing),
         }
 
     async def stop(self) -> None:
@@ -325,5 +320,32 @@
             self._timer.cancel()
         if self._store is not None:
             await self._store.stop()
-        elif self._given is not None:
-            self._given[0].close()
+        elif self._initial_store is not None:
+            self._initial_store[0].close()
+
+
+# The keys below are those of `ctl --json`.
+
+
+def _lease_view(lease: Lease) -> dict[str, Any]:
+    return {
+        "task": lease.task,
+        "holder": lease.holder,
+        "token": lease.token,
+        "renewed": lease.renewal_count,
+        "heir": lease.successor,
+        "ending": lease.is_revoked,
+        "granted": lease.grant_count,
+    }
+
+
+def _note_view(note: Note) -> dict[str, Any]:
+    return {"version": note.version, "value": note.value, "token": note.token, "author": note.author}
+
+
+def _timing_view(timing: LeaseTiming) -> dict[str, Any]:
+    return {
+        "length": timing.duration_us,
+        "margin": timing.safety_margin_us,
+        "drift": timing.max_clock_drift_ratio,
+    }
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -186,7 +186,7 @@
         from lotusstream.net.tasks import PLAN_NOTE_KEY
 
         if self.fleet is not None and file.cells is not None:
-            self.fleet.bring(PLAN_NOTE_KEY, file.cells.number, file.cells.digest)
+            self.fleet.propose_note(PLAN_NOTE_KEY, file.cells.number, file.cells.digest)
 
     def start(self) -> None:
         assert self.fleet is not None
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -23,7 +23,7 @@
 class FleetTask(Protocol):
     """`begin` under a token, until `stop`."""
 
-    def begin(self, token: int) -> None: ...
+    def activate(self, token: int) -> None: ...
 
     def stop(self, why: str) -> None: ...
 
@@ -34,9 +34,9 @@
 
     name: str
     may_act: Callable[[], int]
-    tell_decider: Callable[[SubsystemEvent], None]
+    notify_decider: Callable[[SubsystemEvent], None]
     supervisor: Supervisor
-    agree: AgreeOnNote
+    agree_on_note: AgreeOnNote
 
 
 class MigrationTask:
@@ -44,26 +44,26 @@
     keeper of cells turns away what comes under an older token."""
 
     def __init__(self, around: TaskContext) -> None:
-        self._around = around
-        self._agreeing: asyncio.Task[None] | None = None
+        self._context = around
+        self._agreement: asyncio.Task[None] | None = None
 
-    def begin(self, token: int) -> None:
-        self._agreeing = self._around.supervisor.start("plan", self._agree(token))
+    def activate(self, token: int) -> None:
+        self._agreement = self._context.supervisor.start("plan", self._agree_on_plan(token))
 
-    async def _agree(self, token: int) -> None:
+    async def _agree_on_plan(self, token: int) -> None:
         while (
-            why := await self._around.agree(PLAN_NOTE_KEY, token, MIGRATION_TASK)
-        ) and self._around.may_act() == token:
-            self._around.supervisor.log.write("plan", f"no moves are begun here: {why}", reason=why)
+            why := await self._context.agree_on_note(PLAN_NOTE_KEY, token, MIGRATION_TASK)
+        ) and self._context.may_act() == token:
+            self._context.supervisor.log.write("plan", f"no moves are begun here: {why}", reason=why)
             await asyncio.sleep(PLAN_RETRY_DELAY_S)
-        if self._around.may_act() == token:
-            self._around.tell_decider(SubsystemEvent(MigrationLeaseChanged(token)))
+        if self._context.may_act() == token:
+            self._context.notify_decider(SubsystemEvent(MigrationLeaseChanged(token)))
 
     def stop(self, why: str) -> None:
-        if self._agreeing is not None:
-            self._agreeing.cancel()
-            self._agreeing = None
-        self._around.tell_decider(SubsystemEvent(MigrationLeaseChanged(0)))
+        if self._agreement is not None:
+            self._agreement.cancel()
+            self._agreement = None
+        self._context.notify_decider(SubsystemEvent(MigrationLeaseChanged(0)))
 
 
 TaskFactories = dict[str, Callable[[TaskContext], FleetTask]]
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -34,6 +34,8 @@
 DEFAULT_CLOCK_DRIFT_RATIO = 0.02
 DEFAULT_HEARTBEAT_US = 100 * MS
 DEFAULT_PEER_TIMEOUT_US = SECOND
+DEFAULT_MAX_PEER_CONNECTION_COUNT = 256
+DEFAULT_REPAIR_COUNT = 4  # shards that are copied at a time
 MIGRATION_TASK = "moves"
 SHARD_CONTROL_TASK = "copies"
 HEALTH_CHECK_TASK = "examine"
@@ -65,30 +67,39 @@
     takes peers, instead of its address in `keepers`."""
 
     group: str
-    keepers: tuple[QuorumMemberAddress, ...]
+    quorum_members: tuple[QuorumMemberAddress, ...]
     store: str | None
     listen: tuple[str, int] | None
-    pace: RaftTiming
-    leases: LeaseTiming
-    patience: int
-    callers: int
+    raft_timing: RaftTiming
+    lease_timing: LeaseTiming
+    peer_timeout_us: int
+    max_peer_connections: int
     tasks: tuple[str, ...]
-    holders: tuple[ReplicaAddress, ...] = ()
+    replicas: tuple[ReplicaAddress, ...] = ()
     copies: CopyTerms | None = None
-    remember: int | None = None  # how long a command with a mark is known to all gateways
-    examine: HealthCheckOptions | None = None
+    idempotency_retention_us: int | None = None  # how long a command with a mark is known to all gateways
+    health_checks: HealthCheckOptions | None = None
 
     def descriptors(self, name: str) -> int:
         """How many the gateway of this name needs for it at most."""
-        serves = self.keeper(name) or self.holder(name)
-        looks = self.examine.most if self.examine is not None and HEALTH_CHECK_TASK in self.tasks else 0
-        return len({*self.keepers, *self.holders}) + 4 + (self.callers + 4 if serves else 0) + looks
+        serves = self.quorum_member(name) or self.replica(name)
+        looks = (
+            self.health_checks.most
+            if self.health_checks is not None and HEALTH_CHECK_TASK in self.tasks
+            else 0
+        )
+        return (
+            len({*self.quorum_members, *self.replicas})
+            + 4
+            + (self.max_peer_connections + 4 if serves else 0)
+            + looks
+        )
 
-    def holder(self, name: str) -> ReplicaAddress | None:
-        return next((each for each in self.holders if each.name == name), None)
+    def replica(self, name: str) -> ReplicaAddress | None:
+        return next((each for each in self.replicas if each.name == name), None)
 
-    def keeper(self, name: str) -> QuorumMemberAddress | None:
-        return next((each for each in self.keepers if each.name == name), None)
+    def quorum_member(self, name: str) -> QuorumMemberAddress | None:
+        return next((each for each in self.quorum_members if each.name == name), None)
 
 
 def address(word: Word) -> tuple[str, int]:
@@ -154,42 +165,57 @@
 
 
 def read_fleet_settings(file: str, block: Node) -> tuple[FleetSettings, list[Problem]]:
-    keepers = tuple(
-        QuorumMemberAddress(node.values["a name"], *node.values["an address"]) for node in block.all("keeper")
-    )
-    beat = block.value("heartbeat", "a time", DEFAULT_HEARTBEAT_US)
-    election = block.value("election", "a time", 5 * beat)
-    length = block.value("lease", "a time", DEFAULT_LEASE_DURATION_US)
-    drift = block.value("drift", "a share", DEFAULT_CLOCK_DRIFT_RATIO)
-    least = LeaseTiming(length, 0, drift).least_margin()
-    margin = block.value("margin", "a time", max(length // 8, least))
-    found = FleetSettings(
-        block.value("group", "a name", ""),
-        keepers,
-        block.value("store", "a path"),
-        block.value("listen", "an address"),
-        RaftTiming(beat, election),
-        LeaseTiming(length, margin, drift),
-        block.value("peer-patience", "a time", DEFAULT_PEER_TIMEOUT_US),
-        block.value("peers-most", "a number", 256),
-        block.value("tasks", "rest", ()),
-        tuple(
-            ReplicaAddress(told["a name"], host, port, told["a machine"], told["a zone"])
-            for told in (node.values for node in block.all("holder"))
-            for host, port in (told["an address"],)
+    """The settings of a parsed `fleet` block, and what can't work in them.
+
+    :param file: the operator file's name, for the problems' places
+    """
+    lease_timing = _read_lease_timing(block)
+    health_check_interval_us = block.value("examine", "a time")
+    settings = FleetSettings(
+        group=block.value("group", "a name", ""),
+        quorum_members=tuple(
+            QuorumMemberAddress(node.values["a name"], *node.values["an address"])
+            for node in block.all("keeper")
         ),
-        _copies(block, LeaseTiming(length, margin, drift)),
-        block.value("remember", "a time"),
-        HealthCheckOptions(every) if (every := block.value("examine", "a time")) else None,
+        store=block.value("store", "a path"),
+        listen=block.value("listen", "an address"),
+        raft_timing=_read_raft_timing(block),
+        lease_timing=lease_timing,
+        peer_timeout_us=block.value("peer-patience", "a time", DEFAULT_PEER_TIMEOUT_US),
+        max_peer_connections=block.value("peers-most", "a number", DEFAULT_MAX_PEER_CONNECTION_COUNT),
+        tasks=block.value("tasks", "rest", ()),
+        replicas=tuple(_read_replica(node) for node in block.all("holder")),
+        copies=_read_copies(block, lease_timing),
+        idempotency_retention_us=block.value("remember", "a time"),
+        health_checks=HealthCheckOptions(health_check_interval_us) if health_check_interval_us else None,
     )
-    return found, list(_problems(file, block, found))
+    return settings, list(_FleetChecker(file, block, settings).problems())
+
+
+def _read_raft_timing(block: Node) -> RaftTiming:
+    heartbeat_us = block.value("heartbeat", "a time", DEFAULT_HEARTBEAT_US)
+    return RaftTiming(heartbeat_us, block.value("election", "a time", 5 * heartbeat_us))
 
 
-def _copies(block: Node, leases: LeaseTiming) -> CopyTerms | None:
+def _read_lease_timing(block: Node) -> LeaseTiming:
+    duration_us = block.value("lease", "a time", DEFAULT_LEASE_DURATION_US)
+    drift = block.value("drift", "a share", DEFAULT_CLOCK_DRIFT_RATIO)
+    least_us = LeaseTiming(duration_us, 0, drift).min_safety_margin_us()
+    margin_us = block.value("margin", "a time", max(duration_us // 8, least_us))
+    return LeaseTiming(duration_us, margin_us, drift)
+
+
+def _read_replica(node: Node) -> ReplicaAddress:
+    values = node.values
+    host, port = values["an address"]
+    return ReplicaAddress(values["a name"], host, port, values["a machine"], values["a zone"])
+
+
+def _read_copies(block: Node, leases: LeaseTiming) -> CopyTerms | None:
     if (node := block.one("copies")) is None:
         return None
     shards = block.value("shards", "a number", SHARDS)
-    repairs = block.value("repairs", "a number", 4)
+    repairs = block.value("repairs", "a number", DEFAULT_REPAIR_COUNT)
     most = block.value("holds", "a size", 0)
     rate = block.value("repair-pace", "a size", DEFAULT_REPAIR_BYTES_PER_S)
     copies, promise = node.values["a number"], node.values["a promise"]
@@ -197,67 +223,107 @@
     return CopyTerms(copies, promise, leases, repairs, shards, most=most, rate=rate, scrub=scrub)
 
 
-def _problems(file: str, block: Node, told: FleetSettings) -> Iterator[Problem]:
-    def wrong(keyword: str, what: str, hint: str, last: bool = False) -> Problem:
-        nodes = block.all(keyword)
-        at = (nodes[-1] if last else nodes[0]) if nodes else block
-        return Problem(file, at.line, at.column, what, hint)
-
-    names = [each.name for each in told.keepers]
-    count = len(told.keepers)
-    if not 3 <= count <= 7:
-        hint = "3 bear the loss of one, 5 of two, 7 of three"
-        yield wrong("keeper", f"{count} keepers", hint, last=True)
-    for node in block.all("keeper"):
-        here, place = node.values["a name"], node.values["an address"]
-        if names.count(here) > 1:
-            what = f"keeper '{here}' is named twice"
-            yield Problem(file, node.line, node.column, what, "name each keeper once")
-        if sum((each.host, each.port) == place for each in told.keepers) > 1:
-            what = f"two keepers at {place[0]}:{place[1]}"
-            yield Problem(file, node.line, node.column, what, "give each its own address")
-    if told.copies is not None:
-        machines = {each.machine for each in told.holders}
-        if told.copies.promise > told.copies.copies:
-            what = f"a promise on {told.copies.promise} of {told.copies.copies} disks"
-            yield wrong("copies", what, "no more than there are copies")
-        if len(machines) < told.copies.copies:
-            what = f"{told.copies.copies} copies on holders of {len(machines)} machines"
-            yield wrong("copies", what, "name holders on as many machines: no two copies share one")
-    elif told.remember is not None:
-        yield wrong("remember", "nothing is held without 'copies'", "copies 3 promise 2, and holders")
-    elif told.holders or SHARD_CONTROL_TASK in told.tasks:
-        yield wrong("holder", "holders without 'copies'", "say on how many disks: copies 3 promise 2")
-    if told.examine is None and HEALTH_CHECK_TASK in told.tasks:
-        yield wrong("tasks", "nothing says how often engines are examined", "examine 1s")
-    if told.examine is not None and told.examine.every < MIN_HEALTH_CHECK_INTERVAL_US:
-        what = f"each engine examined every {write_time(told.examine.every)}"
-        yield wrong("examine", what, f"{write_time(MIN_HEALTH_CHECK_INTERVAL_US)} or more would do")
-    pace, terms = told.pace, told.leases
-    if pace.heartbeat < MS:
-        yield wrong("heartbeat", "a heartbeat under 1ms", f"{write_time(DEFAULT_HEARTBEAT_US)} would do")
-    if pace.election < 3 * pace.heartbeat:
-        what = (
-            f"an election after {write_time(pace.election)}, with a heartbeat of {write_time(pace.heartbeat)}"
-        )
-        yield wrong(
-            "election", what, f"{write_time(3 * pace.heartbeat)} or more: one lost word is no lost leader"
-        )
-    if terms.length < 4 * pace.election:
-        what = f"a lease of {write_time(terms.length)} is shorter than two elections and a renewal"
-        yield wrong("lease", what, f"{write_time(4 * pace.election)} or more would do")
-    if not 0 <= terms.drift <= 0.2:
-        yield wrong("drift", "no clock of use drifts that much", "2% would do")
-    elif not terms.least_margin() <= terms.margin <= terms.length // 2:
-        what = f"a margin of {write_time(terms.margin)}: two clocks that drift may differ by more"
-        if terms.margin > terms.length // 2:
-            what = f"a margin of {write_time(terms.margin)} leaves less than half of the lease to act in"
-        least = write_time(-(-terms.least_margin() // MS) * MS)
-        yield wrong("margin", what, f"{least} to {write_time(terms.length // 2)} would do")
+@dataclass(frozen=True, slots=True)
+class _FleetChecker:
+    """Finds what can't work in a `fleet` block, in the order in which operators see it."""
+
+    file: str
+    block: Node
+    settings: FleetSettings
+
+    def problems(self) -> Iterator[Problem]:
+        yield from self._quorum_member_problems()
+        yield from self._replica_problems()
+        yield from self._health_check_problems()
+        yield from self._raft_timing_problems()
+        yield from self._lease_timing_problems()
+
+    def _problem(self, keyword: str, what: str, hint: str, last: bool = False) -> Problem:
+        """At the first (or last) directive of this keyword, or at the block where there is none."""
+        nodes = self.block.all(keyword)
+        at = self.block
+        if nodes:
+            at = nodes[-1] if last else nodes[0]
+        return Problem(self.file, at.line, at.column, what, hint)
+
+    def _quorum_member_problems(self) -> Iterator[Problem]:
+        members = self.settings.quorum_members
+        names = [member.name for member in members]
+        count = len(members)
+        if not 3 <= count <= 7:
+            hint = "3 bear the loss of one, 5 of two, 7 of three"
+            yield self._problem("keeper", f"{count} keepers", hint, last=True)
+        for node in self.block.all("keeper"):
+            member_name = node.values["a name"]
+            host, port = node.values["an address"]
+            if names.count(member_name) > 1:
+                what = f"keeper '{member_name}' is named twice"
+                yield Problem(self.file, node.line, node.column, what, "name each keeper once")
+            if sum((member.host, member.port) == (host, port) for member in members) > 1:
+                what = f"two keepers at {host}:{port}"
+                yield Problem(self.file, node.line, node.column, what, "give each its own address")
+
+    def _replica_problems(self) -> Iterator[Problem]:
+        settings = self.settings
+        if settings.copies is not None:
+            yield from self._copies_problems(settings.copies)
+        elif settings.idempotency_retention_us is not None:
+            hint = "copies 3 promise 2, and holders"
+            yield self._problem("remember", "nothing is held without 'copies'", hint)
+        elif settings.replicas or SHARD_CONTROL_TASK in settings.tasks:
+            hint = "say on how many disks: copies 3 promise 2"
+            yield self._problem("holder", "holders without 'copies'", hint)
+
+    def _copies_problems(self, copies: CopyTerms) -> Iterator[Problem]:
+        machines = {replica.machine for replica in self.settings.replicas}
+        if copies.promise > copies.copies:
+            what = f"a promise on {copies.promise} of {copies.copies} disks"
+            yield self._problem("copies", what, "no more than there are copies")
+        if len(machines) < copies.copies:
+            what = f"{copies.copies} copies on holders of {len(machines)} machines"
+            yield self._problem("copies", what, "name holders on as many machines: no two copies share one")
+
+    def _health_check_problems(self) -> Iterator[Problem]:
+        options = self.settings.health_checks
+        if options is None:
+            if HEALTH_CHECK_TASK in self.settings.tasks:
+                yield self._problem("tasks", "nothing says how often engines are examined", "examine 1s")
+        elif options.every < MIN_HEALTH_CHECK_INTERVAL_US:
+            what = f"each engine examined every {write_time(options.every)}"
+            yield self._problem(
+                "examine", what, f"{write_time(MIN_HEALTH_CHECK_INTERVAL_US)} or more would do"
+            )
+
+    def _raft_timing_problems(self) -> Iterator[Problem]:
+        timing = self.settings.raft_timing
+        if timing.heartbeat_us < MS:
+            hint = f"{write_time(DEFAULT_HEARTBEAT_US)} would do"
+            yield self._problem("heartbeat", "a heartbeat under 1ms", hint)
+        if timing.election_timeout_us < 3 * timing.heartbeat_us:
+            election, heartbeat = write_time(timing.election_timeout_us), write_time(timing.heartbeat_us)
+            what = f"an election after {election}, with a heartbeat of {heartbeat}"
+            least = write_time(3 * timing.heartbeat_us)
+            yield self._problem("election", what, f"{least} or more: one lost word is no lost leader")
+
+    def _lease_timing_problems(self) -> Iterator[Problem]:
+        timing = self.settings.lease_timing
+        election_timeout_us = self.settings.raft_timing.election_timeout_us
+        if timing.duration_us < 4 * election_timeout_us:
+            what = f"a lease of {write_time(timing.duration_us)} is shorter than two elections and a renewal"
+            yield self._problem("lease", what, f"{write_time(4 * election_timeout_us)} or more would do")
+        if not 0 <= timing.max_clock_drift_ratio <= 0.2:
+            yield self._problem("drift", "no clock of use drifts that much", "2% would do")
+        elif not timing.min_safety_margin_us() <= timing.safety_margin_us <= timing.duration_us // 2:
+            margin = write_time(timing.safety_margin_us)
+            what = f"a margin of {margin}: two clocks that drift may differ by more"
+            if timing.safety_margin_us > timing.duration_us // 2:
+                what = f"a margin of {margin} leaves less than half of the lease to act in"
+            least = write_time(-(-timing.min_safety_margin_us() // MS) * MS)
+            yield self._problem("margin", what, f"{least} to {write_time(timing.duration_us // 2)} would do")
 
 
 def gateway_problems(file: str, block: Node, told: FleetSettings, gateway: str) -> Iterator[Problem]:
     """What does not go with the gateway's own name."""
-    if (told.keeper(gateway) or told.holder(gateway)) and told.store is None:
-        what = f"'{gateway}' is a {'keeper' if told.keeper(gateway) else 'holder'} and has no store"
+    if (told.quorum_member(gateway) or told.replica(gateway)) and told.store is None:
+        what = f"'{gateway}' is a {'keeper' if told.quorum_member(gateway) else 'holder'} and has no store"
         yield Problem(file, block.line, block.column, what, "name a folder: store PATH")
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -37,7 +37,7 @@
     version: int
     group: str
     name: str
-    speaks: int = 1
+    frame_version: int = 1
 
 
 class Ping(FrameBase, frozen=True, tag="ping"):
@@ -54,7 +54,7 @@
 
 class LeaseOperationRequest(FrameBase, frozen=True, tag="ask"):
     number: int
-    wish: LeaseOperation
+    operation: LeaseOperation
 
 
 class LeaseTableRequest(FrameBase, frozen=True, tag="look"):
@@ -74,9 +74,9 @@
 
     number: int
     done: bool
-    granted: LeaseResult | None
+    result: LeaseResult | None
     leader: str
-    why: str
+    reason: str
     view: dict[str, Any] | None = None
 
 
@@ -84,8 +84,8 @@
     """Between two holders of copies."""
 
     source: Place
-    to: Place
-    word: AnyWord
+    target: Place
+    message: AnyWord
 
 
 class ReplicaHeartbeat(FrameBase, frozen=True, tag="beat"):
@@ -132,14 +132,14 @@
 class HealthReportSubscription(FrameBase, frozen=True, tag="hear"):
     """Asks a keeper to pass on what is found of engines, for `span` microseconds."""
 
-    span: int
+    duration_us: int
 
 
 class HealthReportFrame(FrameBase, frozen=True, tag="tidings"):
     """From who examines engines to the keepers, and on to all. `late`: microseconds since it was told."""
 
-    news: HealthReports
-    late: int = 0
+    reports: HealthReports
+    age_us: int = 0
 
 
 PeerFrame = (
@@ -170,7 +170,7 @@
 
 def required_frame_version(frame: PeerFrame) -> int:
     """What a program has to speak to understand this."""
-    return INTRODUCED_IN_VERSION.get(type(frame.word if isinstance(frame, ReplicationFrame) else frame), 1)
+    return INTRODUCED_IN_VERSION.get(type(frame.message if isinstance(frame, ReplicationFrame) else frame), 1)
 
 
 _FRAME_DECODER: msgspec.msgpack.Decoder[PeerFrame] = msgspec.msgpack.Decoder(PeerFrame)
--- a/lotusstream/quorum/events.py
+++ b/lotusstream/quorum/events.py
@@ -49,7 +49,7 @@
     ticket: int
     name: str
     add: bool
-    disk: str = ""
+    incarnation: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
     number: int
     records: tuple[RaftRecord, ...]
-    rewrite: bool = False
+    replace_log: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,9 +132,9 @@
     it may still be carried out."""
 
     ticket: int
-    why: str
+    reason: str
     leader: str
-    maybe: bool
+    may_complete: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +144,7 @@
     role: str
     term: int
     leader: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusstream/quorum/messages.py
+++ b/lotusstream/quorum/messages.py
@@ -17,8 +17,8 @@
     """A keeper is its disk: the same name on another disk is another member. A learner is no voter."""
 
     name: str
-    disk: str
-    voter: bool = True
+    incarnation: str
+    is_voter: bool = True
 
 
 Members = tuple[Member, ...]
@@ -35,7 +35,7 @@
 
     index: int
     term: int
-    group: str
+    cluster_id: str
     members: Members
     state: bytes = b""
 
@@ -48,20 +48,20 @@
 
 
 class IncarnationRecord(RecordBase, frozen=True, tag="disk"):
-    disk: str
+    incarnation: str
 
 
 class VoteRecord(RecordBase, frozen=True, tag="ballot"):
     """The term, and who got this disk's vote in it: a member's disk, or ''."""
 
     term: int
-    vote: str
+    voted_for: str
 
 
 class EntriesRecord(RecordBase, frozen=True, tag="entries"):
     """From index `first` on; whatever stood there is gone."""
 
-    first: int
+    first_index: int
     entries: tuple[LogEntry, ...]
 
 
@@ -84,8 +84,8 @@
     """Of a keeper that has just started: who are you, and what have you last heard from my disk?"""
 
     term: int
-    last: int
-    vote: str = ""
+    last_index: int
+    voted_for: str = ""
 
 
 class JoinReply(MessageBase, frozen=True, tag="heard"):
@@ -93,12 +93,12 @@
     where no group is founded. `term`, `index`: the newest that this disk has told; `voted`: it gave the vote
     of that term to the one that answers."""
 
-    group: str
+    cluster_id: str
     founders: Members
     members: Members
-    term: int
-    index: int
-    voted: bool
+    reported_term: int
+    reported_index: int
+    vote_received: bool
 
 
 class BootstrapCluster(MessageBase, frozen=True, tag="found"):
@@ -111,14 +111,14 @@
     term: int
     last_index: int
     last_term: int
-    pre: bool
-    forced: bool = False
+    is_pre_vote: bool
+    is_transfer: bool = False
 
 
 class VoteReply(MessageBase, frozen=True, tag="vote"):
     term: int
     granted: bool
-    pre: bool
+    is_pre_vote: bool
 
 
 class AppendEntries(MessageBase, frozen=True, tag="append"):
@@ -126,9 +126,9 @@
     prev_index: int
     prev_term: int
     entries: tuple[LogEntry, ...]
-    commit: int
+    commit_index: int
     round: int
-    durable: int  # what the leader itself has on its disk
+    durable_index: int  # what the leader itself has on its disk
 
 
 class AppendReply(MessageBase, frozen=True, tag="appended"):
@@ -136,9 +136,9 @@
     `last`: the end of the log that answers."""
 
     term: int
-    ok: bool
+    success: bool
     index: int
-    last: int
+    last_index: int
     round: int
 
 
@@ -147,9 +147,9 @@
 
     term: int
     snapshot: Snapshot  # without its state
-    offset: int
-    size: int
-    piece: bytes
+    offset_bytes: int
+    total_bytes: int
+    chunk: bytes
     round: int
 
 
@@ -158,7 +158,7 @@
 
     term: int
     index: int
-    have: int
+    received_bytes: int
     done: bool
     round: int
 
@@ -187,8 +187,8 @@
     """`to_disk`: '' where it is not known. `group`: '' before there is one."""
 
     sender: str
-    disk: str
-    to: str
-    to_disk: str
-    group: str
-    body: RaftMessage
+    sender_incarnation: str
+    recipient: str
+    recipient_incarnation: str
+    cluster_id: str
+    message: RaftMessage
--- a/lotusstream/quorum/node.py
+++ b/lotusstream/quorum/node.py
@@ -24,11 +24,11 @@
     """Times in microseconds. An election begins after `election` to twice that without a leader. `batch`:
     most bytes of entries or snapshot in one message; `kept`: entries before the log is compacted."""
 
-    heartbeat: int
-    election: int
-    batch: int = 64 << 10
-    kept: int = 1000
-    open: int = 1000  # proposals at once that wait for their commit
+    heartbeat_us: int
+    election_timeout_us: int
+    max_batch_bytes: int = 64 << 10
+    compaction_entry_count: int = 1000
+    max_open_proposal_count: int = 1000  # proposals at once that wait for their commit
 
 
 @dataclass(slots=True)
@@ -74,13 +74,17 @@
         seed: int,
         now: int,
     ) -> None:
-        self.name, self.pace, self._fresh, self._named = name, pace, fresh, tuple(named)
-        self.disk, self.term, self.vote = on_disk.disk, on_disk.term, on_disk.vote
+        self.name, self.timing, self._fresh, self._named = name, pace, fresh, tuple(named)
+        self.incarnation, self.term, self.voted_for = on_disk.incarnation, on_disk.term, on_disk.voted_for
         self._empty = ReplicatedLog(ms.Snapshot(0, 0, "", ()))
-        self.journal = on_disk.journal or self._empty
-        self.role = FOLLOWER if on_disk.journal else EMPTY
-        self.leader, self.commit, self.applied = "", self.journal.snapshot.index, self.journal.snapshot.index
-        self._founding = ClusterBootstrap(name, self.disk, named)
+        self.log = on_disk.log or self._empty
+        self.role = FOLLOWER if on_disk.log else EMPTY
+        self.leader, self.commit_index, self.applied_index = (
+            "",
+            self.log.snapshot.index,
+            self.log.snapshot.index,
+        )
+        self._founding = ClusterBootstrap(name, self.incarnation, named)
         self._seed, self._draws = seed, 0
         self._now, self._out = now, list[ev.RaftAction]()
         self._heard_leader: int | None = None
@@ -102,7 +106,7 @@
         self._pending: list[ms.RaftRecord] = []
         self._rewrite = False
         self._number = 0
-        self._durable = self.journal.last
+        self._durable = self.log.last_index
         self._installing: tuple[ms.Snapshot, bytearray] | None = None
         self._leaving = False
         self._first = True
@@ -113,8 +117,8 @@
         self._now, self._out = max(now, self._now), []
         if self._first:
             self._first = False
-            self._out.append(ev.RestoreSnapshot(self.journal.snapshot.index, self.journal.snapshot.state))
-            if not self.disk:
+            self._out.append(ev.RestoreSnapshot(self.log.snapshot.index, self.log.snapshot.state))
+            if not self.incarnation:
                 self._renew_disk()
         match event:
             case ev.MessageReceived(envelope):
@@ -139,7 +143,7 @@
         return self._out
 
     @property
-    def next_at(self) -> int:
+    def next_timer_at(self) -> int:
         """When to say Tick next."""
         if self.role == LEADER:
             return min(self._beat_at, self._handing[1] if self._handing else self._beat_at)
@@ -149,15 +153,15 @@
 
     @property
     def members(self) -> ms.Members:
-        return self.journal.members
+        return self.log.members
 
     @property
-    def group(self) -> str:
-        return self.journal.snapshot.group
+    def cluster_id(self) -> str:
+        return self.log.snapshot.cluster_id
 
-    def lag(self) -> dict[str, int]:
+    def replication_lag(self) -> dict[str, int]:
         """Of the leader: entries that each member has not yet written down."""
-        return {disk: self.journal.last - each.match for disk, each in self._followers.items()}
+        return {disk: self.log.last_index - each.match for disk, each in self._followers.items()}
 
     # Saying and saving
 
@@ -165,14 +169,14 @@
         self._draws += 1
         lot = zlib.crc32(f"{self._seed}/{self.name}/{self._draws}".encode())
         lot = zlib.crc32(lot.to_bytes(4, "big") + b"spread")
-        return self.pace.election + lot * self.pace.election // 2**32
+        return self.timing.election_timeout_us + lot * self.timing.election_timeout_us // 2**32
 
     def _save(self, *records: ms.RaftRecord) -> None:
         self._pending += records
 
     def _say(self, to: str, to_disk: str, body: ms.RaftMessage, *, rests: bool) -> None:
         """`rests`: on what is not on the disk yet; it leaves once that is."""
-        envelope = ms.RaftEnvelope(self.name, self.disk, to, to_disk, self.group, body)
+        envelope = ms.RaftEnvelope(self.name, self.incarnation, to, to_disk, self.cluster_id, body)
         if rests and self._pending:
             self._open_save().rests.append(envelope)
         elif rests and self._saves:
@@ -190,7 +194,7 @@
         if not self._pending:
             return
         saving = self._open_save()
-        saving.last = self.journal.last
+        saving.last = self.log.last_index
         self._number += 1
         self._out.append(ev.PersistRecords(self._number, tuple(self._pending), self._rewrite))
         self._pending, self._rewrite = [], False
@@ -207,13 +211,13 @@
 
     def _renew_disk(self) -> None:
         """From now on this is a new member that holds nothing."""
-        self.disk, self.term, self.vote = self._fresh, 0, ""
-        self.journal, self.role, self.leader = self._empty, EMPTY, ""
-        self.commit = self.applied = 0
-        self._founding = ClusterBootstrap(self.name, self.disk, self._named)
+        self.incarnation, self.term, self.voted_for = self._fresh, 0, ""
+        self.log, self.role, self.leader = self._empty, EMPTY, ""
+        self.commit_index = self.applied_index = 0
+        self._founding = ClusterBootstrap(self.name, self.incarnation, self._named)
         self._installing, self._answered, self._proven = None, {}, False
         self._saves.clear()
-        self._pending, self._rewrite = [ms.IncarnationRecord(self.disk), ms.VoteRecord(0, "")], True
+        self._pending, self._rewrite = [ms.IncarnationRecord(self.incarnation), ms.VoteRecord(0, "")], True
         self._out.append(ev.RestoreSnapshot(0, b""))
 
     def _became(self, why: str) -> None:
@@ -224,7 +228,7 @@
     def _pass_time(self) -> None:
         now = self._now
         if (self.role == EMPTY or not self._proven or self._newcomer()) and now >= self._hello_at:
-            self._hello_at = now + self.pace.heartbeat
+            self._hello_at = now + self.timing.heartbeat_us
             self._hello()
         if self.role == LEADER:
             self._check_majority()
@@ -239,31 +243,31 @@
                 self._ask_before("no leader was heard")
 
     def _newcomer(self) -> bool:
-        return self.role not in (EMPTY, LEADER) and find_member(self.members, self.disk) is None
+        return self.role not in (EMPTY, LEADER) and find_member(self.members, self.incarnation) is None
 
     def _votes_here(self) -> bool:
-        mine = find_member(self.members, self.disk)
-        return mine is not None and mine.voter
+        mine = find_member(self.members, self.incarnation)
+        return mine is not None and mine.is_voter
 
     def _voters(self) -> list[ms.Member]:
-        return [member for member in self.members if member.voter]
+        return [member for member in self.members if member.is_voter]
 
     def _majority(self, disks: set[str]) -> bool:
-        voters = [member.disk for member in self._voters()]
+        voters = [member.incarnation for member in self._voters()]
         return 2 * sum(disk in disks for disk in voters) > len(voters)
 
     def _check_majority(self) -> None:
         """Without a majority in the longest election time this leader may have been replaced."""
-        since = self._now - 2 * self.pace.election
-        near = {disk for disk, each in self._followers.items() if each.heard > since} | {self.disk}
+        since = self._now - 2 * self.timing.election_timeout_us
+        near = {disk for disk, each in self._followers.items() if each.heard > since} | {self.incarnation}
         if not self._majority(near):
             self._follow(self.term, "", "no majority has answered this leader")
 
     # Starting: hello
 
     def _hello(self) -> None:
-        body = ms.JoinRequest(self.term, self.journal.last, self.vote)
-        others = {member.name: member.disk for member in self.members if member.name != self.name}
+        body = ms.JoinRequest(self.term, self.log.last_index, self.voted_for)
+        others = {member.name: member.incarnation for member in self.members if member.name != self.name}
         others |= {name: others.get(name, "") for name in self._named if name != self.name}
         for name in sorted(others):
             self._say(name, "", body, rests=True)
@@ -271,46 +275,46 @@
             self._prove()
 
     def _said_hello(self, envelope: ms.RaftEnvelope, hello: ms.JoinRequest) -> None:
-        body = self._heard_of(envelope.disk, hello.term)
-        self._say(envelope.sender, envelope.disk, body, rests=self.role == EMPTY)
-        if envelope.sender in self._named and find_member(self.members, envelope.disk) is None:
-            self._newcomers[envelope.sender] = (envelope.disk, self._now)
+        body = self._heard_of(envelope.sender_incarnation, hello.term)
+        self._say(envelope.sender, envelope.sender_incarnation, body, rests=self.role == EMPTY)
+        if envelope.sender in self._named and find_member(self.members, envelope.sender_incarnation) is None:
+            self._newcomers[envelope.sender] = (envelope.sender_incarnation, self._now)
 
     def _heard_of(self, disk: str, term: int) -> ms.JoinReply:
         heard, index, voted = self._told.get(disk, (0, 0, False))
-        first = self.journal.snapshot
+        first = self.log.snapshot
         founders = first.members if not first.index else ()
-        return ms.JoinReply(self.group, founders, self.members, heard, index, voted and heard == term)
+        return ms.JoinReply(self.cluster_id, founders, self.members, heard, index, voted and heard == term)
 
     def _heard(self, envelope: ms.RaftEnvelope, heard: ms.JoinReply) -> None:
         if self.role == EMPTY:
-            found = self._founding.heard(envelope.sender, envelope.disk, heard)
+            found = self._founding.on_join_reply(envelope.sender, envelope.sender_incarnation, heard)
             if found is not None:
                 self._begin(found)
                 for member in found.members if not heard.members else ():
-                    if member.disk != self.disk:
-                        self._say(member.name, member.disk, ms.BootstrapCluster(found), rests=True)
+                    if member.incarnation != self.incarnation:
+                        self._say(member.name, member.incarnation, ms.BootstrapCluster(found), rests=True)
             return
-        if is_older_copy(ms.JoinRequest(self.term, self.journal.last, self.vote), heard):
+        if is_older_copy(ms.JoinRequest(self.term, self.log.last_index, self.voted_for), heard):
             self._renew_disk()
             self._became(f"{envelope.sender} has heard more from this disk than it holds: an older copy")
             return
-        self._answered[envelope.disk] = True
+        self._answered[envelope.sender_incarnation] = True
         self._prove()
 
     def _prove(self) -> None:
         """All have answered, or a majority after the time of an election."""
         if self._proven or self.role == EMPTY:
             return
-        answered = {*self._answered, self.disk}
-        voters = {member.disk for member in self._voters()}
-        late = self._now - self._began >= self.pace.election
+        answered = {*self._answered, self.incarnation}
+        voters = {member.incarnation for member in self._voters()}
+        late = self._now - self._began >= self.timing.election_timeout_us
         if voters <= answered or (late and self._majority(answered)):
             self._proven = True
             self._election_at = self._now + self._draw()
 
     def _begin(self, found: ms.Snapshot) -> None:
-        self.journal, self.role, self._proven = ReplicatedLog(found), FOLLOWER, True
+        self.log, self.role, self._proven = ReplicatedLog(found), FOLLOWER, True
         self._save(ms.SnapshotRecord(found))
         self._election_at = self._now + self._draw()
         self._became("the group is founded")
@@ -318,9 +322,11 @@
     # Receiving
 
     def _receive(self, envelope: ms.RaftEnvelope) -> None:
-        if envelope.to != self.name or (envelope.to_disk and envelope.to_disk != self.disk):
+        if envelope.recipient != self.name or (
+            envelope.recipient_incarnation and envelope.recipient_incarnation != self.incarnation
+        ):
             return  # meant for the disk that was here before
-        body = envelope.body
+        body = envelope.message
         match body:
             case ms.JoinRequest():
                 return self._said_hello(envelope, body)
@@ -330,7 +336,9 @@
                 if self.role == EMPTY and self._founding.accepts(snapshot):
                     self._begin(snapshot)
                 return None
-        if self.group and envelope.group and envelope.group != self.group:  # newcomers have none yet
+        if (
+            self.cluster_id and envelope.cluster_id and envelope.cluster_id != self.cluster_id
+        ):  # newcomers have none yet
             return None
         match body:
             case ms.RequestVote():
@@ -350,7 +358,7 @@
                     self._stand("the leader hands over", forced=True)
 
     def _new_term(self, term: int) -> None:
-        self.term, self.vote = term, ""
+        self.term, self.voted_for = term, ""
         self._save(ms.VoteRecord(term, ""))
 
     def _follow(self, term: int, leader: str, why: str) -> None:
@@ -379,63 +387,73 @@
 
     def _ask_before(self, why: str) -> None:
         self.role, self.leader = ASKING, ""
-        self._votes = {self.disk}
+        self._votes = {self.incarnation}
         self._ask(self.term + 1, pre=True, forced=False)
         self._hello()  # whoever was replaced unheard hears of it, and is heard of
         self._count()
 
     def _stand(self, why: str, forced: bool = False) -> None:
         self.role, self.leader = CANDIDATE, ""
-        self.term, self.vote = self.term + 1, self.disk
-        self._save(ms.VoteRecord(self.term, self.vote))
-        self._votes = {self.disk}
+        self.term, self.voted_for = self.term + 1, self.incarnation
+        self._save(ms.VoteRecord(self.term, self.voted_for))
+        self._votes = {self.incarnation}
         self._election_at = self._now + self._draw()
         self._became(why)
         self._ask(self.term, pre=False, forced=forced)
 
     def _ask(self, term: int, *, pre: bool, forced: bool) -> None:
-        body = ms.RequestVote(term, self.journal.last, self.journal.last_term, pre, forced)
+        body = ms.RequestVote(term, self.log.last_index, self.log.last_term, pre, forced)
         for member in self._voters():
-            if member.disk != self.disk:
-                self._say(member.name, member.disk, body, rests=True)
+            if member.incarnation != self.incarnation:
+                self._say(member.name, member.incarnation, body, rests=True)
 
     def _asked(self, envelope: ms.RaftEnvelope, ask: ms.RequestVote) -> None:
         if self.role == EMPTY or not self._proven:
             return
-        near = self._heard_leader is not None and self._now - self._heard_leader < self.pace.election
-        if not ask.forced and (self.role == LEADER or near):
+        near = (
+            self._heard_leader is not None
+            and self._now - self._heard_leader < self.timing.election_timeout_us
+        )
+        if not ask.is_transfer and (self.role == LEADER or near):
             if ask.term < self.term:
-                self._say(envelope.sender, envelope.disk, ms.VoteReply(self.term, False, ask.pre), rests=True)
+                self._say(
+                    envelope.sender,
+                    envelope.sender_incarnation,
+                    ms.VoteReply(self.term, False, ask.is_pre_vote),
+                    rests=True,
+                )
             return  # there is a leader: whoever was cut off may not push it out
-        if not ask.pre and ask.term > self.term:
+        if not ask.is_pre_vote and ask.term > self.term:
             self._follow(ask.term, "", f"{envelope.sender} stands for election")
-        good = (ask.last_term, ask.last_index) >= (self.journal.last_term, self.journal.last)
-        if ask.pre:
+        good = (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last_index)
+        if ask.is_pre_vote:
             granted = good and ask.term > self.term
             self._say(
                 envelope.sender,
-                envelope.disk,
+                envelope.sender_incarnation,
                 ms.VoteReply(ask.term if granted else self.term, granted, True),
                 rests=True,
             )
             return
-        granted = good and ask.term == self.term and self.vote in ("", envelope.disk)
-        if granted and not self.vote:
-            self.vote = envelope.disk
-            self._save(ms.VoteRecord(self.term, self.vote))
+        granted = good and ask.term == self.term and self.voted_for in ("", envelope.sender_incarnation)
+        if granted and not self.voted_for:
+            self.voted_for = envelope.sender_incarnation
+            self._save(ms.VoteRecord(self.term, self.voted_for))
             self._election_at = self._now + self._draw()
-        self._say(envelope.sender, envelope.disk, ms.VoteReply(self.term, granted, False), rests=True)
+        self._say(
+            envelope.sender, envelope.sender_incarnation, ms.VoteReply(self.term, granted, False), rests=True
+        )
 
     def _voted(self, envelope: ms.RaftEnvelope, vote: ms.VoteReply) -> None:
         if not vote.granted:
             if vote.term > self.term:
                 self._follow(vote.term, "", f"{envelope.sender} is in a later term")
             return
-        if not vote.pre:
-            self._remember(envelope.disk, vote.term, 0, voted=True)
+        if not vote.is_pre_vote:
+            self._remember(envelope.sender_incarnation, vote.term, 0, voted=True)
         wanted = self.term + 1 if self.role == ASKING else self.term
-        if self.role == (ASKING if vote.pre else CANDIDATE) and vote.term == wanted:
-            self._votes.add(envelope.disk)
+        if self.role == (ASKING if vote.is_pre_vote else CANDIDATE) and vote.term == wanted:
+            self._votes.add(envelope.sender_incarnation)
             self._count()
 
     def _count(self) -> None:
@@ -459,21 +477,21 @@
     def _lead(self) -> None:
         self.role, self.leader = LEADER, self.name
         self._followers = {}
-        self._durable = self.journal.last
+        self._durable = self.log.last_index
         self._tickets, self._readings = {}, []
         self._became("elected")
         self._add(ms.LogEntry(self.term, ms.EntryKind.NOTHING))
         self._beat()
 
     def _add(self, entry: ms.LogEntry) -> int:
-        self.journal.extend((entry,))
-        self._save(ms.EntriesRecord(self.journal.last, (entry,)))
-        return self.journal.last
+        self.log.append((entry,))
+        self._save(ms.EntriesRecord(self.log.last_index, (entry,)))
+        return self.log.last_index
 
     def _propose(self, ticket: int, data: bytes) -> None:
         if self.role != LEADER or self._handing is not None:
             self._out.append(ev.FailRequest(ticket, "not the leader", self.leader, False))
-        elif len(self._tickets) >= self.pace.open:
+        elif len(self._tickets) >= self.timing.max_open_proposal_count:
             self._out.append(ev.FailRequest(ticket, "too much is open", self.name, False))
         else:
             self._tickets[self._add(ms.LogEntry(self.term, ms.EntryKind.COMMAND, data))] = ticket
@@ -487,9 +505,9 @@
 
     def _beat(self) -> None:
         self._round += 1
-        self._beat_at = self._now + self.pace.heartbeat
+        self._beat_at = self._now + self.timing.heartbeat_us
         for member in self.members:
-            if member.disk != self.disk:
+            if member.incarnation != self.incarnation:
                 self._send(member, beat=True)
 
     def _drive(self) -> None:
@@ -497,76 +515,80 @@
         if self._handing is not None:
             self._hand_over()
         for member in self.members:
-            if member.disk == self.disk:
+            if member.incarnation == self.incarnation:
                 continue
-            follower = self._followers.get(member.disk)
-            if follower is None or (not follower.out and follower.next <= self.journal.last):
+            follower = self._followers.get(member.incarnation)
+            if follower is None or (not follower.out and follower.next <= self.log.last_index):
                 self._send(member, beat=False)
         self._members_on()
         self._advance()
 
     def _send(self, member: ms.Member, *, beat: bool) -> None:
-        follower = self._followers.get(member.disk)
+        follower = self._followers.get(member.incarnation)
         if follower is None:
-            follower = self._followers[member.disk] = Follower(max(1, self.journal.last), self._now)
-        if follower.out and self._now - follower.sent >= self.pace.election:
+            follower = self._followers[member.incarnation] = Follower(max(1, self.log.last_index), self._now)
+        if follower.out and self._now - follower.sent >= self.timing.election_timeout_us:
             follower.out = False  # lost on the way: once more
         prev = follower.next - 1
-        term = self.journal.term(prev)
-        if term is None or follower.next <= self.journal.snapshot.index:
+        term = self.log.term_at(prev)
+        if term is None or follower.next <= self.log.snapshot.index:
             if not follower.out or beat:
                 self._send_snapshot(member, follower)
             return
-        entries = () if follower.out else self.journal.after(prev, self.pace.batch)
+        entries = () if follower.out else self.log.entries_after(prev, self.timing.max_batch_bytes)
         if entries:
             follower.out, follower.sent, follower.upto = True, self._now, prev + len(entries)
-        body = ms.AppendEntries(self.term, prev, term, entries, self.commit, self._round, self._durable)
-        self._say(member.name, member.disk, body, rests=False)
+        body = ms.AppendEntries(self.term, prev, term, entries, self.commit_index, self._round, self._durable)
+        self._say(member.name, member.incarnation, body, rests=False)
 
     def _send_snapshot(self, member: ms.Member, follower: Follower) -> None:
-        snapshot = self.journal.snapshot
+        snapshot = self.log.snapshot
         if follower.installing != snapshot.index:
             follower.installing, follower.have = snapshot.index, 0
-        piece = snapshot.state[follower.have : follower.have + self.pace.batch]
-        bare = ms.Snapshot(snapshot.index, snapshot.term, snapshot.group, snapshot.members)
+        piece = snapshot.state[follower.have : follower.have + self.timing.max_batch_bytes]
+        bare = ms.Snapshot(snapshot.index, snapshot.term, snapshot.cluster_id, snapshot.members)
         follower.out, follower.sent = True, self._now
         body = ms.InstallSnapshot(self.term, bare, follower.have, len(snapshot.state), piece, self._round)
-        self._say(member.name, member.disk, body, rests=False)
+        self._say(member.name, member.incarnation, body, rests=False)
 
     def _answer(self, envelope: ms.RaftEnvelope, term: int, round: int) -> Follower | None:
         """The follower that an answer of this term came from."""
         if term > self.term:
             self._follow(term, "", f"{envelope.sender} is in a later term")
             return None
-        follower = self._followers.get(envelope.disk) if self.role == LEADER and term == self.term else None
+        follower = (
+            self._followers.get(envelope.sender_incarnation)
+            if self.role == LEADER and term == self.term
+            else None
+        )
         if follower is not None:
             follower.heard = self._now
             follower.round = max(follower.round, round)
         return follower
 
     def _appended(self, envelope: ms.RaftEnvelope, told: ms.AppendReply) -> None:
-        if told.ok:
-            self._remember(envelope.disk, told.term, told.index)
+        if told.success:
+            self._remember(envelope.sender_incarnation, told.term, told.index)
         if (follower := self._answer(envelope, told.term, told.round)) is None:
             return
-        if told.ok:
+        if told.success:
             follower.match = max(follower.match, told.index)
             follower.next = follower.match + 1
             follower.out = follower.out and follower.match < follower.upto
             return
-        if told.last < follower.match:  # it told of more than it holds
-            body = self._heard_of(envelope.disk, told.term)
-            self._say(envelope.sender, envelope.disk, body, rests=False)
+        if told.last_index < follower.match:  # it told of more than it holds
+            body = self._heard_of(envelope.sender_incarnation, told.term)
+            self._say(envelope.sender, envelope.sender_incarnation, body, rests=False)
         follower.out = False
         follower.next = max(follower.match + 1, min(told.index, follower.next - 1)) if told.index else 0
 
     def _installed(self, envelope: ms.RaftEnvelope, told: ms.InstallSnapshotReply) -> None:
         if (follower := self._answer(envelope, told.term, told.round)) is None:
             return
-        if told.index != self.journal.snapshot.index or told.index != follower.installing:
+        if told.index != self.log.snapshot.index or told.index != follower.installing:
             follower.out = False
             return
-        follower.have, follower.out = told.have, False
+        follower.have, follower.out = told.received_bytes, False
         if told.done:
             follower.match = max(follower.match, told.index)
             follower.next, follower.installing = told.index + 1, -1
@@ -576,55 +598,60 @@
             return
         matches = sorted(
             (
-                self._durable if member.disk == self.disk else self._match(member.disk)
+                self._durable if member.incarnation == self.incarnation else self._match(member.incarnation)
                 for member in self._voters()
             ),
             reverse=True,
         )
         agreed = matches[len(matches) // 2]  # a majority holds this much
-        if agreed > self.commit and self.journal.term(agreed) == self.term:
-            self.commit = agreed
-            self._beat_at = min(self._beat_at, self._now + self.pace.heartbeat // 4)
+        if agreed > self.commit_index and self.log.term_at(agreed) == self.term:
+            self.commit_index = agreed
+            self._beat_at = min(self._beat_at, self._now + self.timing.heartbeat_us // 4)
 
     def _match(self, disk: str) -> int:
         follower = self._followers.get(disk)
         return follower.match if follower else 0
 
     def _apply(self) -> None:
-        while self.applied < self.commit:
-            self.applied += 1
-            entry = self.journal.entry(self.applied)
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            entry = self.log.entry_at(self.applied_index)
             if entry.kind == ms.EntryKind.MEMBERS:
                 self._out.append(
-                    ev.ReportMembershipChange(self.applied, self.journal.members_at(self.applied))
+                    ev.ReportMembershipChange(self.applied_index, self.log.members_at(self.applied_index))
                 )
-            ticket = self._tickets.pop(self.applied, None)
-            self._out.append(ev.ApplyEntry(self.applied, entry.kind, entry.data, ticket))
+            ticket = self._tickets.pop(self.applied_index, None)
+            self._out.append(ev.ApplyEntry(self.applied_index, entry.kind, entry.data, ticket))
         if self.role == LEADER:
-            if self._readings and self.journal.term(self.commit) == self.term:
+            if self._readings and self.log.term_at(self.commit_index) == self.term:
                 self._serve_readings()
-            if find_member(self.members, self.disk) is None and self.journal.members_index <= self.commit:
+            if (
+                find_member(self.members, self.incarnation) is None
+                and self.log.members_index <= self.commit_index
+            ):
                 self._follow(self.term, "", "no member any more")
-        if self.applied - self.journal.snapshot.index >= self.pace.kept:
-            self._out.append(ev.TakeSnapshot(self.applied))
+        if self.applied_index - self.log.snapshot.index >= self.timing.compaction_entry_count:
+            self._out.append(ev.TakeSnapshot(self.applied_index))
 
     def _serve_readings(self) -> None:
         left = []
         for reading in self._readings:
             near = {disk for disk, each in self._followers.items() if each.round >= reading.round}
-            if self._majority(near | {self.disk}):
+            if self._majority(near | {self.incarnation}):
                 self._out.append(ev.CompleteRequest(reading.ticket))
             else:
                 left.append(reading)
         self._readings = left
 
     def _compact(self, index: int, state: bytes) -> None:
-        if not self.journal.snapshot.index < index <= self.applied:
+        if not self.log.snapshot.index < index <= self.applied_index:
             return
-        self.journal.compact(index, state)
+        self.log.compact(index, state)
         self._pending, self._rewrite = [], True
         self._save(
-            ms.IncarnationRecord(self.disk), ms.VoteRecord(self.term, self.vote), *self.journal.records()
+            ms.IncarnationRecord(self.incarnation),
+            ms.VoteRecord(self.term, self.voted_for),
+            *self.log.records(),
         )
 
     # Following
@@ -641,39 +668,49 @@
     def _append(self, envelope: ms.RaftEnvelope, told: ms.AppendEntries) -> None:
         if self.role == EMPTY:  # a newcomer: it has nothing that entries could follow
             self._say(
-                envelope.sender, envelope.disk, ms.AppendReply(told.term, False, 0, 0, told.round), rests=True
+                envelope.sender,
+                envelope.sender_incarnation,
+                ms.AppendReply(told.term, False, 0, 0, told.round),
+                rests=True,
             )
             return
         if not self._led(envelope, told.term):
-            self._say(envelope.sender, envelope.disk, ms.AppendReply(self.term, False, 0, 0, 0), rests=True)
+            self._say(
+                envelope.sender,
+                envelope.sender_incarnation,
+                ms.AppendReply(self.term, False, 0, 0, 0),
+                rests=True,
+            )
             return
-        self._remember(envelope.disk, told.term, told.durable)
+        self._remember(envelope.sender_incarnation, told.term, told.durable_index)
         prev, entries = told.prev_index, told.entries
-        if prev < self.journal.snapshot.index:  # what the snapshot holds is committed, and agrees
-            ahead = self.journal.snapshot.index - prev
-            entries, prev = entries[ahead:], min(prev + len(entries), self.journal.snapshot.index)
+        if prev < self.log.snapshot.index:  # what the snapshot holds is committed, and agrees
+            ahead = self.log.snapshot.index - prev
+            entries, prev = entries[ahead:], min(prev + len(entries), self.log.snapshot.index)
             agrees = True
         else:
-            agrees = self.journal.term(prev) == told.prev_term
+            agrees = self.log.term_at(prev) == told.prev_term
         if not agrees:
-            back = self.journal.last + 1 if prev > self.journal.last else self.journal.conflict(prev)
-            body = ms.AppendReply(self.term, False, back, self.journal.last, told.round)
-            self._say(envelope.sender, envelope.disk, body, rests=True)
+            back = (
+                self.log.last_index + 1 if prev > self.log.last_index else self.log.first_index_of_term(prev)
+            )
+            body = ms.AppendReply(self.term, False, back, self.log.last_index, told.round)
+            self._say(envelope.sender, envelope.sender_incarnation, body, rests=True)
             return
         at = prev
         for place, entry in enumerate(entries):
             at = prev + 1 + place
-            if self.journal.term(at) == entry.term:
+            if self.log.term_at(at) == entry.term:
                 continue
-            if at <= self.journal.last:
-                self.journal.cut(at)
-            self.journal.extend(entries[place:])
+            if at <= self.log.last_index:
+                self.log.truncate_from(at)
+            self.log.append(entries[place:])
             self._save(ms.EntriesRecord(at, tuple(entries[place:])))
             break
         at = prev + len(entries)
-        self.commit = max(self.commit, min(told.commit, at))
-        body = ms.AppendReply(self.term, True, at, self.journal.last, told.round)
-        self._say(envelope.sender, envelope.disk, body, rests=True)
+        self.commit_index = max(self.commit_index, min(told.commit_index, at))
+        body = ms.AppendReply(self.term, True, at, self.log.last_index, told.round)
+        self._say(envelope.sender, envelope.sender_incarnation, body, rests=True)
 
     def _install(self, envelope: ms.RaftEnvelope, told: ms.InstallSnapshot) -> None:
         if self.role == EMPTY:
@@ -681,38 +718,43 @@
                 self._new_term(told.term)
         elif not self._led(envelope, told.term):
             self._say(
-                envelope.sender, envelope.disk, ms.InstallSnapshotReply(self.term, 0, 0, False, 0), rests=True
+                envelope.sender,
+                envelope.sender_incarnation,
+                ms.InstallSnapshotReply(self.term, 0, 0, False, 0),
+                rests=True,
             )
             return
         bare = told.snapshot
-        if self.role != EMPTY and bare.index <= self.commit:
-            body = ms.InstallSnapshotReply(self.term, bare.index, told.size, True, told.round)
-            self._say(envelope.sender, envelope.disk, body, rests=True)
+        if self.role != EMPTY and bare.index <= self.commit_index:
+            body = ms.InstallSnapshotReply(self.term, bare.index, told.total_bytes, True, told.round)
+            self._say(envelope.sender, envelope.sender_incarnation, body, rests=True)
             return
         if self._installing is None or self._installing[0] != bare:
             self._installing = (bare, bytearray())
         have = self._installing[1]
-        if told.offset == len(have):
-            have += told.piece
-        done = len(have) >= told.size
+        if told.offset_bytes == len(have):
+            have += told.chunk
+        done = len(have) >= told.total_bytes
         if done:
-            self._take(ms.Snapshot(bare.index, bare.term, bare.group, bare.members, bytes(have)))
+            self._take(ms.Snapshot(bare.index, bare.term, bare.cluster_id, bare.members, bytes(have)))
         body = ms.InstallSnapshotReply(self.term, bare.index, len(have), done, told.round)
-        self._say(envelope.sender, envelope.disk, body, rests=True)
+        self._say(envelope.sender, envelope.sender_incarnation, body, rests=True)
 
     def _take(self, snapshot: ms.Snapshot) -> None:
         was_empty, self._installing = self.role == EMPTY, None
-        if not was_empty and self.journal.term(snapshot.index) == snapshot.term:
-            self.journal.compact(snapshot.index, snapshot.state)
+        if not was_empty and self.log.term_at(snapshot.index) == snapshot.term:
+            self.log.compact(snapshot.index, snapshot.state)
         else:
-            self.journal = ReplicatedLog(snapshot)
+            self.log = ReplicatedLog(snapshot)
         if was_empty:
             self.role, self._proven = FOLLOWER, True
             self._became("taken into the group")
-        self.commit = self.applied = snapshot.index
+        self.commit_index = self.applied_index = snapshot.index
         self._pending, self._rewrite = [], True
         self._save(
-            ms.IncarnationRecord(self.disk), ms.VoteRecord(self.term, self.vote), *self.journal.records()
+            ms.IncarnationRecord(self.incarnation),
+            ms.VoteRecord(self.term, self.voted_for),
+            *self.log.records(),
         )
         self._out.append(ev.RestoreSnapshot(snapshot.index, snapshot.state))
         self._out.append(ev.ReportMembershipChange(snapshot.index, snapshot.members))
@@ -732,7 +774,7 @@
             if add and not disk and there is None:
                 why = f"'{name}' has not been heard of: start it first"
                 self._out.append(ev.FailRequest(ticket, why, self.name, False))
-            elif (there is None) != add and not (add and there and disk and disk != there.disk):
+            elif (there is None) != add and not (add and there and disk and disk != there.incarnation):
                 why = f"'{name}' is {'a' if add else 'no'} keeper already"
                 self._out.append(ev.FailRequest(ticket, why, self.name, False))
             elif not add and len(self._voters()) == 1:
@@ -742,13 +784,14 @@
 
     def _members_on(self) -> None:
         """One step of one change at a time, each once the one before is committed."""
-        if self.journal.members_index > self.commit or self.journal.term(self.commit) != self.term:
+        if self.log.members_index > self.commit_index or self.log.term_at(self.commit_index) != self.term:
             return
         for member in self.members:  # a learner that has all becomes a voter
-            if not member.voter and self._match(member.disk) >= max(1, self.commit):
+            if not member.is_voter and self._match(member.incarnation) >= max(1, self.commit_index):
                 self._set(
                     tuple(
-                        ms.Member(each.name, each.disk) if each == member else each for each in self.members
+                        ms.Member(each.name, each.incarnation) if each == member else each
+                        for each in self.members
                     )
                 )
                 return
@@ -757,12 +800,16 @@
             return
         for name in sorted(self._newcomers):
             disk, since = self._newcomers.pop(name)
-            if self._now - since > self.pace.election:
+            if self._now - since > self.timing.election_timeout_us:
                 continue
             there = next((each for each in self.members if each.name == name), None)
-            if find_member(self.members, disk) is None and there is not None and there.disk != self.disk:
-                follower = self._followers.get(there.disk)
-                if follower is None or self._now - follower.heard < self.pace.election:
+            if (
+                find_member(self.members, disk) is None
+                and there is not None
+                and there.incarnation != self.incarnation
+            ):
+                follower = self._followers.get(there.incarnation)
+                if follower is None or self._now - follower.heard < self.timing.election_timeout_us:
                     continue  # its old disk answers: the hello was late, or two go by one name
                 self._wish = (-1, name, disk, True)  # a keeper came back on a new disk
                 return
@@ -771,11 +818,11 @@
         ticket, name, disk, add = wish
         there = next((each for each in self.members if each.name == name), None)
         rest = tuple(each for each in self.members if each.name != name)
-        if there is not None and (not add or there.disk != disk):
-            if there.disk == self.disk and self._others():
+        if there is not None and (not add or there.incarnation != disk):
+            if there.incarnation == self.incarnation and self._others():
                 self._hand_over()
                 return
-            if there.voter and not any(each.voter for each in rest):
+            if there.is_voter and not any(each.is_voter for each in rest):
                 self._end_wish("the last voter has to stay")
                 return
             # one voter less and one learner more, at once: whoever comes on a new disk is never forgotten
@@ -799,7 +846,7 @@
         }
 
     def _others(self) -> list[ms.Member]:
-        return [member for member in self._voters() if member.disk != self.disk]
+        return [member for member in self._voters() if member.incarnation != self.incarnation]
 
     def _leave(self) -> None:
         self._leaving = True
@@ -809,10 +856,12 @@
     def _hand_over(self) -> None:
         """To whoever has most; it takes nothing new meanwhile, for the time of an election."""
         if self._handing is None:
-            best = max(self._others(), key=lambda each: (self._match(each.disk), each.name), default=None)
+            best = max(
+                self._others(), key=lambda each: (self._match(each.incarnation), each.name), default=None
+            )
             if best is None:
                 return
-            self._handing = (best.disk, self._now + self.pace.election)
+            self._handing = (best.incarnation, self._now + self.timing.election_timeout_us)
         member = find_member(self.members, self._handing[0])
-        if member is not None and self._match(member.disk) == self.journal.last:
-            self._say(member.name, member.disk, ms.TimeoutNow(self.term), rests=False)
+        if member is not None and self._match(member.incarnation) == self.log.last_index:
+            self._say(member.name, member.incarnation, ms.TimeoutNow(self.term), rests=False)
--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -93,10 +93,10 @@
     """Seed 275: it took a shard for whole that had been left with one copy, and mended it never."""
     known = ms.Assigned(0, 14, HOME, "s", (COPY, OLD))
     manager = mg.ShardController(TERMS, [known], 0)
-    actions = manager.handle(TERMS.leases.length, mg.Tick())
+    actions = manager.handle(TERMS.leases.duration_us, mg.Tick())
     assert mg.LookUp() in actions
     now = ms.Assigned(0, 15, HOME, "s", (COPY,))
-    manager.handle(TERMS.leases.length + 1, mg.Found((now,)))
+    manager.handle(TERMS.leases.duration_us + 1, mg.Found((now,)))
     assert manager.assigned[0] == now
 
 
@@ -126,9 +126,9 @@
     home.handle(0, rp.LeaseFrom(0, {shard: 4}))
     home.handle(0, rp.Heard(COPY, ms.Stand(shard, 4, "c", 4, 1)))
     assert rp.Known(1, sent) in home.handle(1, rp.Claim(1, sent_by("another"), 1))
-    home.handle(TERMS.leases.length, rp.LeaseFrom(TERMS.leases.length, {shard: 5}))
+    home.handle(TERMS.leases.duration_us, rp.LeaseFrom(TERMS.leases.duration_us, {shard: 5}))
     assert home.leased
-    told = home.handle(TERMS.leases.length, rp.Claim(2, sent_by("another"), 1))
+    told = home.handle(TERMS.leases.duration_us, rp.Claim(2, sent_by("another"), 1))
     assert [type(each) for each in told if isinstance(each, rp.Known | rp.Unkept)] == [rp.Unkept]
 
 
@@ -142,7 +142,7 @@
     manager = mg.ShardController(TERMS, [ms.Assigned(0, 4, HOME, "g1", (COPY, OLD))], 0)
     for name, each in holders.items():
         manager.handle(0, mg.Beacon(each, name))
-    late = TERMS.leases.length
+    late = TERMS.leases.duration_us
     manager.handle(late - 1, mg.Beacon(holders["g2"], "g2"))
     told = manager.handle(late, mg.Beacon(holders["g3"], "g3"))
     (asked,) = [a.assigned for a in told if isinstance(a, mg.Propose) and a.assigned.shard == 0]
@@ -203,7 +203,7 @@
     supervisor = Supervisor()
     around = TaskContext("g1", lambda: next(looks, 5), lambda _: None, supervisor, put)
     task = ManagerTask(around, TERMS, lambda *_: None, put, look)
-    task.begin(5)
+    task.activate(5)
     async with asyncio.timeout(10):
         while not task.decides:
             await asyncio.sleep(0.01)
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -86,7 +86,7 @@
         leases.PutNote("copies", 2, "shard/1", 2, "[1]"),
         leases.RevokeLease("moves", 1, "g3"),
     )
-    return leases.LeaseTable.replayed(b"", map(leases.encode_operation, wishes))
+    return leases.LeaseTable.replay(b"", map(leases.encode_operation, wishes))
 
 
 # Copies
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -42,14 +42,14 @@
 def open_journal(folder: Path) -> tuple[str, int, str, ReplicatedLog]:
     log, on_disk = open_store(str(folder))
     log.close()
-    assert on_disk.journal is not None and log.cut == 0
-    return on_disk.disk, on_disk.term, on_disk.vote, on_disk.journal
+    assert on_disk.log is not None and log.cut == 0
+    return on_disk.incarnation, on_disk.term, on_disk.voted_for, on_disk.log
 
 
 def lease_table(journal: ReplicatedLog) -> leases.LeaseTable:
-    entries = [journal.entry(index) for index in range(journal.snapshot.index + 1, journal.last + 1)]
+    entries = [journal.entry_at(index) for index in range(journal.snapshot.index + 1, journal.last_index + 1)]
     commands = [entry.data for entry in entries if entry.kind == EntryKind.COMMAND]
-    return leases.LeaseTable.replayed(journal.snapshot.state, commands)
+    return leases.LeaseTable.replay(journal.snapshot.state, commands)
 
 
 def test_the_logs_of_a_run_and_hand_made_ones_are_here() -> None:
@@ -67,7 +67,7 @@
     disk, term, vote, journal = open_journal(stored / "run")
     assert (disk, term, vote) == ("g3-ed64621646b8", 1, "g3-ed64621646b8")
     assert journal.snapshot == quorum.Snapshot(0, 0, "g1-b09d130724b0-3", MEMBERS_OF_THE_RUN)
-    assert (journal.last, journal.last_term) == (88, 1)
+    assert (journal.last_index, journal.last_term) == (88, 1)
     assert (journal.members, journal.members_index) == (MEMBERS_OF_THE_RUN, 0)
 
 
@@ -78,7 +78,7 @@
         leases.Lease("copies", "g3", "g3-e7371a8eb749", 2, 27, "", False, 1),
         leases.Lease("examine", "g1", "g1-a51654f548e2", 3, 27, "", False, 1),
     ]
-    assert table.newest == 3
+    assert table.newest_token == 3
     assert table.notes["plan"] == leases.Note(0, "478ddb5c94e3f6fc", 1, "g3")
 
 
@@ -128,8 +128,8 @@
 def test_the_vote_and_the_log_behind_a_snapshot_are_read(stored: Path) -> None:
     disk, term, vote, journal = open_journal(stored / "made")
     assert (disk, term, vote) == ("g1-disk", 4, "g3-disk")
-    assert (journal.snapshot.index, journal.snapshot.term, journal.snapshot.group) == (7, 2, "g1-disk-3")
-    assert (journal.last, journal.last_term, journal.term(8)) == (11, 3, 2)
+    assert (journal.snapshot.index, journal.snapshot.term, journal.snapshot.cluster_id) == (7, 2, "g1-disk-3")
+    assert (journal.last_index, journal.last_term, journal.term_at(8)) == (11, 3, 2)
     assert journal.members_at(10) == FOUNDERS
     assert (journal.members, journal.members_index) == ((*FOUNDERS, LEARNER), 11)
 
@@ -142,14 +142,14 @@
         leases.Lease("examine", "g3", "g3-session", 3, 0, "", False, 1),
     ]
     assert table.notes == {"shard/1": leases.Note(2, "[1]", 2, "g2")}
-    assert table.newest == 3
+    assert table.newest_token == 3
 
 
 def test_a_repeated_wish_is_known_from_a_snapshot(stored: Path) -> None:
     table = lease_table(open_journal(stored / "made")[-1])
     repeated = leases.encode_operation(leases.AcquireLease("moves", "g1", "g1-session", 2))
     assert table.apply(repeated) == leases.LeaseResult(True, "moves", "g1", 1, "")
-    assert table.leases["moves"].renewed == 1
+    assert table.leases["moves"].renewal_count == 1
 
 
 def test_a_shard_whose_last_part_is_missing_stays_as_it_was(stored: Path) -> None:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -34,7 +34,7 @@
 
 
 def granted(table, ask):
-    return table.apply(encode_operation(ask.wish))
+    return table.apply(encode_operation(ask.operation))
 
 
 def asks(actions):
@@ -75,10 +75,10 @@
 def test_a_lease_handed_on_is_kept_for_its_heir_alone_and_not_for_ever(table):
     token = acquire(table, "g1", 1).token
     table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 2, token, "g3")))
-    assert acquire(table, "g2", 1).why == "kept for g3"
+    assert acquire(table, "g2", 1).reason == "kept for g3"
     granter = LeaseExpiryTracker(TERMS)
-    assert granter.due(0, 1, table) == []
-    (word,) = granter.due(2 * S, 1, table)
+    assert granter.expired_leases(0, 1, table) == []
+    (word,) = granter.expired_leases(2 * S, 1, table)
     table.apply(encode_operation(word))
     assert acquire(table, "g2", 2).done
 
@@ -86,8 +86,8 @@
 def test_taken_back_by_hand_it_ends_at_the_next_renewal_and_not_before(table):
     token = acquire(table, "g1", 1).token
     assert table.apply(encode_operation(RevokeLease("moves", token))).done
-    assert acquire(table, "g2", 1).why == "held"
-    assert acquire(table, "g1", 2).why == "taken back by hand"
+    assert acquire(table, "g2", 1).reason == "held"
+    assert acquire(table, "g1", 2).reason == "taken back by hand"
     table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 3, token)))
     assert acquire(table, "g2", 2).done
 
@@ -106,14 +106,16 @@
     told = granted(table, ask)
     begun = holder.handle(S + 200 * MS, hold.LeaseReplyReceived(ask.number, told, "k1"))
     assert hold.StartTask("moves", told.token) in begun
-    end = S + TERMS.length - TERMS.margin
+    end = S + TERMS.duration_us - TERMS.safety_margin_us
     assert holder.may_act(end - 1, "moves") == told.token
     assert holder.may_act(end, "moves") == 0
 
 
 def test_an_answer_that_comes_after_its_time_begins_nothing(holder, table):
     (ask,) = asks(holder.handle(S, hold.LeaseWanted("moves")))
-    late = holder.handle(S + TERMS.length, hold.LeaseReplyReceived(ask.number, granted(table, ask), "k1"))
+    late = holder.handle(
+        S + TERMS.duration_us, hold.LeaseReplyReceived(ask.number, granted(table, ask), "k1")
+    )
     assert not any(isinstance(each, hold.StartTask) for each in late)
 
 
@@ -123,24 +125,24 @@
     stops = []
     now = S
     while not stops:
-        now = max(now + 1, holder.next_at)
+        now = max(now + 1, holder.next_timer_at)
         stops = [
             each for each in holder.handle(now, hold.LeaseTimeAdvanced()) if isinstance(each, hold.StopTask)
         ]
-    assert now <= S + TERMS.length - TERMS.margin
-    assert "no renewal" in stops[0].why
+    assert now <= S + TERMS.duration_us - TERMS.safety_margin_us
+    assert "no renewal" in stops[0].reason
 
 
 def test_a_silent_keeper_is_left_for_the_next(holder):
     (first,) = asks(holder.handle(S, hold.LeaseWanted("moves")))
-    (second,) = asks(holder.handle(holder.next_at, hold.LeaseTimeAdvanced()))
-    assert first.keeper != second.keeper
+    (second,) = asks(holder.handle(holder.next_timer_at, hold.LeaseTimeAdvanced()))
+    assert first.recipient != second.recipient
 
 
 def test_the_margin_bears_the_drift_of_both_clocks():
-    slow, fast = 1 - TERMS.drift, 1 + TERMS.drift
-    assert (TERMS.length - TERMS.least_margin()) / slow <= TERMS.length / fast
-    assert (TERMS.length - TERMS.least_margin() * 0.9) / slow > TERMS.length / fast
+    slow, fast = 1 - TERMS.max_clock_drift_ratio, 1 + TERMS.max_clock_drift_ratio
+    assert (TERMS.duration_us - TERMS.min_safety_margin_us()) / slow <= TERMS.duration_us / fast
+    assert (TERMS.duration_us - TERMS.min_safety_margin_us() * 0.9) / slow > TERMS.duration_us / fast
 
 
 def test_a_holder_that_slept_between_its_look_and_its_act_is_turned_away_by_what_it_acts_on():
@@ -157,7 +159,7 @@
     first = acquire(table, "g1", 1).token
     assert put(first, 3, "a").done
     assert put(first, 3, "a").done  # its answer was lost
-    assert "version 3" in put(first, 3, "b").why
+    assert "version 3" in put(first, 3, "b").reason
     table.apply(encode_operation(ReleaseLease("moves", "g1", "g1", 2, first)))
     second = acquire(table, "g2", 1).token
     assert not put(first, 4, "late").done
