--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -15,8 +15,10 @@
 from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.node import RaftNode
+from lotusstream.quorum.election import Election
+from lotusstream.quorum.read_index import ReadIndex
 from lotusstream.quorum.replicated_log import ReplicatedLog
+from lotusstream.quorum.state import RaftState
 
 SCENE = Scene()
 
@@ -32,12 +34,14 @@
 
 def _before_fsync() -> Any:
     """Votes and acknowledgements leave before what they rest on is on the disk."""
-    say = RaftNode._say
+    send = RaftState.send
 
-    def hasty(self: RaftNode, to: str, to_disk: str, body: Any, *, rests: bool) -> None:
-        say(self, to, to_disk, body, rests=False)
+    def send_at_once(
+        self: RaftState, name: str, incarnation: str, message: Any, *, after_persist: bool
+    ) -> None:
+        send(self, name, incarnation, message, after_persist=False)
 
-    return mock.patch.object(RaftNode, "_say", hasty)
+    return mock.patch.object(RaftState, "send", send_at_once)
 
 
 def _from_the_reply() -> Any:
@@ -66,11 +70,11 @@
 
 
 def _half_is_enough() -> Any:
-    def half(self: RaftNode, disks: set[str]) -> bool:
-        voters = [member.incarnation for member in self._voters()]
-        return 2 * sum(disk in disks for disk in voters) >= len(voters)
+    def is_half(self: RaftState, incarnations: set[str]) -> bool:
+        voters = [member.incarnation for member in self.voters()]
+        return 2 * sum(voter in incarnations for voter in voters) >= len(voters)
 
-    return mock.patch.object(RaftNode, "_majority", half)
+    return mock.patch.object(RaftState, "is_majority", is_half)
 
 
 def _wiped_disk_votes() -> Any:
@@ -89,7 +93,7 @@
         node.disk.synced = [ms.IncarnationRecord(keeper.incarnation), ms.SnapshotRecord(founders)]
         self.back(node, 100_000)
 
-    trusting = mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
+    trusting = mock.patch("lotusstream.quorum.join.is_older_copy", lambda mine, heard: False)
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(virtual.VirtualFleet, "_fault_wipe", wiped))
     stack.enter_context(trusting)
@@ -97,17 +101,19 @@
 
 
 def _older_copy_votes() -> Any:
-    return mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
+    return mock.patch("lotusstream.quorum.join.is_older_copy", lambda mine, heard: False)
 
 
 def _stale_read() -> Any:
     """A leader answers reads without asking whether it still leads."""
 
-    def serve(self: RaftNode) -> None:
-        self._out += [ev.CompleteRequest(reading.ticket) for reading in self._readings]
-        self._readings = []
+    def complete_at_once(self: ReadIndex) -> None:
+        leading = self._state.leading
+        for read in leading.pending_reads:
+            self._state.act(ev.CompleteRequest(read.ticket))
+        leading.pending_reads = []
 
-    return mock.patch.object(RaftNode, "_serve_readings", serve)
+    return mock.patch.object(ReadIndex, "complete_reads", complete_at_once)
 
 
 def _forgotten_token() -> Any:
@@ -139,13 +145,13 @@
 
 def _no_log_check() -> Any:
     """A vote for whoever asks, whatever its log lacks."""
-    asked = RaftNode._asked
+    on_request_vote = Election.on_request_vote
 
-    def kind(self: RaftNode, envelope: Any, ask: Any) -> None:
-        better = type(ask)(ask.term, 10**9, 10**9, ask.is_pre_vote, ask.is_transfer)
-        asked(self, envelope, better)
+    def ignore_the_log(self: Election, envelope: ms.RaftEnvelope, request: ms.RequestVote) -> None:
+        up_to_date = ms.RequestVote(request.term, 10**9, 10**9, request.is_pre_vote, request.is_transfer)
+        on_request_vote(self, envelope, up_to_date)
 
-    return mock.patch.object(RaftNode, "_asked", kind)
+    return mock.patch.object(Election, "on_request_vote", ignore_the_log)
 
 
 def _cut_is_forgotten() -> Any:
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -18,8 +18,10 @@
 from lotusstream.lab.world import Broken
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
+from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
+from lotusstream.quorum.state import Role
+from lotusstream.quorum.timing import RaftTiming
 
 PACE = RaftTiming(100, 1000)
 NAMES = ("a", "b", "c")
@@ -67,7 +69,7 @@
 
 def _begun(name: str, disk: list[ms.RaftRecord]) -> RaftNode:
     keeper = RaftNode(name, PersistedState(disk), "", NAMES, PACE, 1, 0)
-    keeper._proven = True  # that its disk is no older copy is not what is looked at here
+    keeper.state.is_verified = True  # that its disk is no older copy is not what is looked at here
     return keeper
 
 
@@ -105,9 +107,9 @@
                 if left.losses:
                     yield "lose", at
         for at, keeper in enumerate(world.keepers):
-            if left.timeouts and keeper.role != LEADER:
+            if left.timeouts and keeper.role != Role.LEADER:
                 yield "time-out", at
-            if left.proposals and keeper.role == LEADER:
+            if left.proposals and keeper.role == Role.LEADER:
                 yield "propose", at
             if left.crashes:
                 yield "crash", at
@@ -163,26 +165,45 @@
                     told = bytes([kind]) + data
                     if world.applied.setdefault(index, told) != told:
                         raise Broken(f"{keeper.name} applied something else at {index}")
-        if keeper.role == LEADER and world.leaders.setdefault(keeper.term, keeper.name) != keeper.name:
+        if keeper.role == Role.LEADER and world.leaders.setdefault(keeper.term, keeper.name) != keeper.name:
             raise Broken(f"term {keeper.term} has two leaders")
 
     @staticmethod
     def _print(world: World) -> bytes:
         """What tells one state from another; the way there does not."""
-        keepers = [
-            (
-                each.role, each.term, each.voted_for, each.leader, each.commit_index, sorted(each._votes),
-                [(e.term, int(e.kind), e.data) for e in each.log.entries_after(0, 1 << 30)],
-                sorted((disk, f.next, f.match, f.out, f.upto) for disk, f in each._followers.items()),
-                each._heard_leader == now,
-            )
-            for each, now in zip(world.keepers, world.nows, strict=True)
-        ]  # fmt: skip
+        keepers = [_fingerprint(each, now) for each, now in zip(world.keepers, world.nows, strict=True)]
         left = world.left
         bounds = (left.timeouts, left.proposals, left.crashes, left.losses)
         return msgspec.msgpack.encode((keepers, sorted(world.flying, key=_line), bounds))
 
 
+def _fingerprint(node: RaftNode, now: int) -> tuple[Any, ...]:
+    """What tells one state of a node from another."""
+    state = node.state
+    entries = [(entry.term, int(entry.kind), entry.data) for entry in state.log.entries_after(0, 1 << 30)]
+    followers = sorted(
+        (
+            incarnation,
+            progress.next_index,
+            progress.match_index,
+            progress.is_in_flight,
+            progress.last_in_flight_index,
+        )
+        for incarnation, progress in state.leading.followers.items()
+    )
+    return (
+        state.role.value,
+        state.term,
+        state.voted_for,
+        state.leader,
+        state.commit_index,
+        sorted(state.candidate.votes),
+        entries,
+        followers,
+        state.follower.heard_leader_at == now,
+    )
+
+
 _ENVELOPES: msgspec.msgpack.Decoder[ms.RaftEnvelope] = msgspec.msgpack.Decoder(ms.RaftEnvelope)
 
 
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -25,8 +25,10 @@
 from lotusstream.leases.table import LeaseResult
 from lotusstream.quorum import events as ev
 from lotusstream.quorum.messages import RaftRecord
-from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
+from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
+from lotusstream.quorum.state import Role
+from lotusstream.quorum.timing import RaftTiming
 
 PACE = RaftTiming(100 * MS, 400 * MS, max_batch_bytes=300, compaction_entry_count=25)
 TERMS = LeaseTiming(2 * S, 250 * MS, 0.05)
@@ -196,7 +198,7 @@
         assert node.desk is not None
         for action in node.desk.handle(node.clock(self.now), event):
             self._carry_out(node, action)
-        if node.desk.node.role == LEADER:
+        if node.desk.node.role == Role.LEADER:
             self.judge.leads(node.desk.node.term, node.desk.node.incarnation)
         for index in range(max(1, node.desk.node.applied_index - 3), node.desk.node.applied_index + 1):
             if index > node.desk.node.log.snapshot.index:
@@ -235,7 +237,7 @@
     def _read(self) -> None:
         """From whoever takes itself for the leader, and it must know all that was granted before."""
         for node in self.keepers.values():
-            leads = node.desk is not None and node.desk.node.role == LEADER
+            leads = node.desk is not None and node.desk.node.role == Role.LEADER
             if leads and node.up and not node.stopped:
                 self._tell_keeper(node, LeaseTableReadReceived(self.judge.newest, 0))
         self.after(self.scene.look_every, self._read)
@@ -374,7 +376,7 @@
 
     def _alive(self) -> None:
         """Once faults have ended: one leader, whole, and somebody acts for every task."""
-        if not any(node.desk and node.desk.node.role == LEADER for node in self.keepers.values()):
+        if not any(node.desk and node.desk.node.role == Role.LEADER for node in self.keepers.values()):
             self.judge.fails("no leader though all faults have ended")
         if not self._whole():
             self.judge.fails("a keeper has not caught up though all faults have ended")
--- a/lotusstream/leases/service.py
+++ b/lotusstream/leases/service.py
@@ -9,7 +9,8 @@
 from lotusstream.leases.table import AcquireLease, LeaseOperation, LeaseResult, LeaseTable, encode_operation
 from lotusstream.quorum import events as ev
 from lotusstream.quorum.messages import EntryKind
-from lotusstream.quorum.node import LEADER, RaftNode
+from lotusstream.quorum.node import RaftNode
+from lotusstream.quorum.state import Role
 
 NO_TICKET = -1  # the ticket of what nobody waits for
 MAX_WAITERS_COUNT = 1024  # who is told that a task is free, at most; whoever is not asks again by itself
@@ -107,7 +108,7 @@
             while todo:
                 todo += self._act(now, todo.popleft(), out)
             due = []
-            if self.node.role == LEADER:
+            if self.node.role == Role.LEADER:
                 due = self._expiry_tracker.expired_leases(now, self.node.term, self.table)
             for expire in due:
                 todo += self.node.handle(now, ev.ProposalSubmitted(NO_TICKET, encode_operation(expire)))
@@ -125,7 +126,7 @@
 
     def _at_once(self, now: int, asked: LeaseOperationReceived) -> LeaseServiceReply | None:
         """'Held' needs no entry in the log: at worst it is late news, and the wish comes again."""
-        if self.node.role != LEADER or not isinstance(asked.operation, AcquireLease):
+        if self.node.role != Role.LEADER or not isinstance(asked.operation, AcquireLease):
             return None
         lease = self.table.leases.get(asked.operation.task)
         if lease is None or not lease.token or lease.holder == asked.operation.holder:
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -28,8 +28,9 @@
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
 from lotusstream.quorum.messages import RaftEnvelope, RaftRecord
-from lotusstream.quorum.node import RaftNode, RaftTiming
+from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
+from lotusstream.quorum.timing import RaftTiming
 from lotusstream.wal.log import CorruptLogError, Disk, DiskError, Log
 
 _RECORD_DECODER: msgspec.msgpack.Decoder[RaftRecord] = msgspec.msgpack.Decoder(RaftRecord)
@@ -293,7 +294,7 @@
         return {
             "name": keeper.name,
             "disk": keeper.incarnation,
-            "role": keeper.role,
+            "role": keeper.role.value,
             "term": keeper.term,
             "leader": keeper.leader,
             "group": keeper.cluster_id,
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -24,7 +24,7 @@
     time,
 )
 from lotusstream.operator.units import write_time
-from lotusstream.quorum.node import RaftTiming
+from lotusstream.quorum.timing import RaftTiming
 
 MS, SECOND = 1_000, 1_000_000
 MIN_HEALTH_CHECK_INTERVAL_US = 100 * MS
--- /dev/null
+++ b/lotusstream/quorum/committed_entries.py
@@ -0,0 +1,53 @@
+"""Committed entries reach the caller's state machine, and the log behind them is compacted."""
+
+from __future__ import annotations
+
+from lotusstream.quorum import events as ev
+from lotusstream.quorum import messages as ms
+from lotusstream.quorum.bootstrap import find_member
+from lotusstream.quorum.read_index import ReadIndex
+from lotusstream.quorum.state import RaftState, Role
+
+
+class CommittedEntries:
+    """Hands out each committed entry once and in order, on every node the same."""
+
+    def __init__(self, state: RaftState, read_index: ReadIndex) -> None:
+        self._state = state
+        self._read_index = read_index
+
+    def apply(self) -> None:
+        """Hands out what was committed, completes reads, and asks for a snapshot when the log is long."""
+        state = self._state
+        while state.applied_index < state.commit_index:
+            state.applied_index += 1
+            self._apply_entry(state.applied_index)
+        if state.role == Role.LEADER:
+            self._after_leader_applied()
+        if state.applied_index - state.log.snapshot.index >= state.timing.compaction_entry_count:
+            state.act(ev.TakeSnapshot(state.applied_index))
+
+    def on_snapshot_taken(self, index: int, snapshot_state: bytes) -> None:
+        """Replaces the log up to `index` by a snapshot; an outdated or premature one is ignored."""
+        state = self._state
+        if not state.log.snapshot.index < index <= state.applied_index:
+            return
+        state.log.compact(index, snapshot_state)
+        state.replace_stored_log()
+
+    def _apply_entry(self, index: int) -> None:
+        state = self._state
+        entry = state.log.entry_at(index)
+        if entry.kind == ms.EntryKind.MEMBERS:
+            state.act(ev.ReportMembershipChange(index, state.log.members_at(index)))
+        ticket = state.leading.open_proposals.pop(index, None)
+        state.act(ev.ApplyEntry(index, entry.kind, entry.data, ticket))
+
+    def _after_leader_applied(self) -> None:
+        state = self._state
+        # Only an entry of its own term tells a leader that it knows all that is committed.
+        if state.leading.pending_reads and state.log.term_at(state.commit_index) == state.term:
+            self._read_index.complete_reads()
+        is_member = find_member(state.members, state.incarnation) is not None
+        if not is_member and state.log.members_index <= state.commit_index:
+            state.become_follower(state.term, "", "no member any more")
--- /dev/null
+++ b/lotusstream/quorum/log_receiver.py
@@ -0,0 +1,136 @@
+"""The follower's side of the log: entries and snapshots that the leader sends."""
+
+from __future__ import annotations
+
+from lotusstream.quorum import events as ev
+from lotusstream.quorum import messages as ms
+from lotusstream.quorum.join import JoinProtocol
+from lotusstream.quorum.replicated_log import ReplicatedLog
+from lotusstream.quorum.state import RaftState, Role, SnapshotTransfer
+
+
+class LogReceiver:
+    """Takes entries and snapshots of the leader.
+
+    Invariant (log matching): where two logs have an entry of the same index and term, they are equal up to
+    that entry; so entries are only appended behind one that agrees, and what conflicts is removed. The
+    reply leaves once the entries are on the disk.
+    """
+
+    def __init__(self, state: RaftState, join: JoinProtocol) -> None:
+        self._state = state
+        self._join = join
+
+    def on_append_entries(self, envelope: ms.RaftEnvelope, message: ms.AppendEntries) -> None:
+        """Appends the leader's entries, or answers where the two logs may agree."""
+        state = self._state
+        if state.role == Role.EMPTY:  # there is no log yet that entries could follow
+            state.reply(envelope, ms.AppendReply(message.term, False, 0, 0, message.round))
+            return
+        if not self._accept_leader(envelope, message.term):
+            state.reply(envelope, ms.AppendReply(state.term, False, 0, 0, 0))
+            return
+        self._join.record_report(envelope.sender_incarnation, message.term, message.durable_index)
+        prev_index = message.prev_index
+        entries = message.entries
+        snapshot_index = state.log.snapshot.index
+        if prev_index < snapshot_index:
+            # What the snapshot holds is committed, so it agrees with every later leader.
+            covered_count = snapshot_index - prev_index
+            prev_index = min(prev_index + len(entries), snapshot_index)
+            entries = entries[covered_count:]
+        elif state.log.term_at(prev_index) != message.prev_term:
+            retry_index = self._retry_index(prev_index)
+            reply = ms.AppendReply(state.term, False, retry_index, state.log.last_index, message.round)
+            state.reply(envelope, reply)
+            return
+        self._append(prev_index, entries)
+        agreed_index = prev_index + len(entries)
+        state.commit_index = max(state.commit_index, min(message.commit_index, agreed_index))
+        reply = ms.AppendReply(state.term, True, agreed_index, state.log.last_index, message.round)
+        state.reply(envelope, reply)
+
+    def on_install_snapshot(self, envelope: ms.RaftEnvelope, message: ms.InstallSnapshot) -> None:
+        """Takes a chunk of a snapshot, and installs the snapshot with its last chunk."""
+        state = self._state
+        if state.role == Role.EMPTY:
+            if message.term > state.term:
+                state.enter_term(message.term)
+        elif not self._accept_leader(envelope, message.term):
+            state.reply(envelope, ms.InstallSnapshotReply(state.term, 0, 0, False, 0))
+            return
+        header = message.snapshot
+        if state.role != Role.EMPTY and header.index <= state.commit_index:
+            reply = ms.InstallSnapshotReply(
+                state.term, header.index, message.total_bytes, True, message.round
+            )
+            state.reply(envelope, reply)
+            return
+        received = self._receive_chunk(message)
+        is_complete = len(received) >= message.total_bytes
+        if is_complete:
+            self._install(
+                ms.Snapshot(header.index, header.term, header.cluster_id, header.members, bytes(received))
+            )
+        reply = ms.InstallSnapshotReply(state.term, header.index, len(received), is_complete, message.round)
+        state.reply(envelope, reply)
+
+    def _accept_leader(self, envelope: ms.RaftEnvelope, term: int) -> bool:
+        """Follows the sender, unless its term is over."""
+        state = self._state
+        if term < state.term:
+            return False
+        if term > state.term or state.role != Role.FOLLOWER or state.leader != envelope.sender:
+            state.become_follower(term, envelope.sender, f"{envelope.sender} leads")
+        state.follower.heard_leader_at = state.now
+        state.restart_election_timer()
+        return True
+
+    def _retry_index(self, prev_index: int) -> int:
+        """What the leader is to try next after a conflict: the beginning of a whole term is skipped."""
+        log = self._state.log
+        if prev_index > log.last_index:
+            return log.last_index + 1
+        return log.first_index_of_term(prev_index)
+
+    def _append(self, prev_index: int, entries: tuple[ms.LogEntry, ...]) -> None:
+        """Appends what is new of the entries behind `prev_index`, in place of what conflicts."""
+        state = self._state
+        for position, entry in enumerate(entries):
+            index = prev_index + 1 + position
+            if state.log.term_at(index) == entry.term:
+                continue
+            if index <= state.log.last_index:
+                state.log.truncate_from(index)
+            new_entries = entries[position:]
+            state.log.append(new_entries)
+            state.outbox.persist(ms.EntriesRecord(index, tuple(new_entries)))
+            return
+
+    def _receive_chunk(self, message: ms.InstallSnapshot) -> bytearray:
+        """What has come of this snapshot, with this chunk if it is the next one."""
+        follower = self._state.follower
+        transfer = follower.snapshot_transfer
+        if transfer is None or transfer.snapshot != message.snapshot:
+            transfer = follower.snapshot_transfer = SnapshotTransfer(message.snapshot)
+        if message.offset_bytes == len(transfer.state):
+            transfer.state += message.chunk
+        return transfer.state
+
+    def _install(self, snapshot: ms.Snapshot) -> None:
+        state = self._state
+        was_empty = state.role == Role.EMPTY
+        state.follower.snapshot_transfer = None
+        if not was_empty and state.log.term_at(snapshot.index) == snapshot.term:
+            state.log.compact(snapshot.index, snapshot.state)
+        else:
+            state.log = ReplicatedLog(snapshot)
+        if was_empty:
+            state.role = Role.FOLLOWER
+            state.is_verified = True
+            state.report_role_change("taken into the group")
+        state.commit_index = snapshot.index
+        state.applied_index = snapshot.index
+        state.replace_stored_log()
+        state.act(ev.RestoreSnapshot(snapshot.index, snapshot.state))
+        state.act(ev.ReportMembershipChange(snapshot.index, snapshot.members))
--- /dev/null
+++ b/lotusstream/quorum/membership_change.py
@@ -0,0 +1,165 @@
+"""Members are added and removed one at a time, each step once the one before is committed."""
+
+from __future__ import annotations
+
+from lotusstream.quorum import events as ev
+from lotusstream.quorum import messages as ms
+from lotusstream.quorum.bootstrap import find_member
+from lotusstream.quorum.join import JoinProtocol, Newcomer
+from lotusstream.quorum.leadership_transfer import LeadershipTransfer
+from lotusstream.quorum.replicated_log import encode_members
+from lotusstream.quorum.replication import Replication
+from lotusstream.quorum.state import PendingMembershipChange, RaftState, Role
+
+
+class MembershipChange:
+    """Changes the members of the cluster; only the leader does.
+
+    Invariant: two consecutive member lists differ by one voter at most, so any majority of the one shares a
+    node with any majority of the other, and no term can get two leaders during a change. A new member is a
+    learner, without a vote, until it has caught up.
+    """
+
+    def __init__(
+        self,
+        state: RaftState,
+        join: JoinProtocol,
+        replication: Replication,
+        transfer: LeadershipTransfer,
+    ) -> None:
+        self._state = state
+        self._join = join
+        self._replication = replication
+        self._transfer = transfer
+
+    def on_change(self, event: ev.MembershipChangeSubmitted) -> None:
+        """Accepts a change, or fails it where it can't be made."""
+        state = self._state
+        if state.role != Role.LEADER:
+            state.fail_request(event.ticket, "not the leader", state.leader)
+            return
+        if state.leading.membership_change is not None:
+            state.fail_request(event.ticket, "another change of keepers is under way", state.name)
+            return
+        newcomer = self._join.newcomers.get(event.name)
+        incarnation = event.incarnation or (newcomer.incarnation if newcomer else "")
+        reason = self._objection(event, incarnation)
+        if reason:
+            state.fail_request(event.ticket, reason, state.name)
+            return
+        state.leading.membership_change = PendingMembershipChange(
+            event.ticket, event.name, incarnation, event.add
+        )
+
+    def advance(self) -> None:
+        """Takes the next step of a change, once the newest member list is committed."""
+        state = self._state
+        if state.log.members_index > state.commit_index:
+            return
+        if state.log.term_at(state.commit_index) != state.term:
+            return
+        if self._promote_learner():
+            return
+        if state.leading.membership_change is not None:
+            self._apply_change(state.leading.membership_change)
+            return
+        self._replace_returned_member()
+
+    def abandon(self, reason: str) -> None:
+        """Gives up the pending change, if there is one."""
+        state = self._state
+        change = state.leading.membership_change
+        if change is not None:
+            state.fail_request(change.ticket, reason, state.name)
+        state.leading.membership_change = None
+
+    def _objection(self, event: ev.MembershipChangeSubmitted, incarnation: str) -> str:
+        """Why a change can't be made, or ''."""
+        name = event.name
+        member = self._member_named(name)
+        if event.add and not incarnation and member is None:
+            return f"'{name}' has not been heard of: start it first"
+        is_replacement = event.add and member and incarnation and incarnation != member.incarnation
+        if (member is None) != event.add and not is_replacement:
+            return f"'{name}' is {'a' if event.add else 'no'} keeper already"
+        if not event.add and len(self._state.voters()) == 1:
+            return "the last voter has to stay"
+        return ""
+
+    def _member_named(self, name: str) -> ms.Member | None:
+        return next((member for member in self._state.members if member.name == name), None)
+
+    def _promote_learner(self) -> bool:
+        """Makes the first learner that holds all that is committed a voter."""
+        state = self._state
+        needed_index = max(1, state.commit_index)
+        for learner in state.members:
+            if learner.is_voter or state.leading.match_index(learner.incarnation) < needed_index:
+                continue
+            voter = ms.Member(learner.name, learner.incarnation)
+            self._append_members(tuple(voter if each == learner else each for each in state.members))
+            return True
+        return False
+
+    def _replace_returned_member(self) -> None:
+        """Begins to replace a member that came back with a new disk, the first by name."""
+        newcomers = self._join.newcomers
+        for name in sorted(newcomers):
+            newcomer = newcomers.pop(name)
+            if self._is_returned_member(name, newcomer):
+                change = PendingMembershipChange(None, name, newcomer.incarnation, True)
+                self._state.leading.membership_change = change
+                return
+
+    def _is_returned_member(self, name: str, newcomer: Newcomer) -> bool:
+        state = self._state
+        election_timeout_us = state.timing.election_timeout_us
+        if state.now - newcomer.heard_at > election_timeout_us:
+            return False
+        member = self._member_named(name)
+        is_member = find_member(state.members, newcomer.incarnation) is not None
+        if is_member or member is None or member.incarnation == state.incarnation:
+            return False
+        # While the old incarnation answers, the request was late, or two nodes share a name.
+        progress = state.leading.followers.get(member.incarnation)
+        return progress is not None and state.now - progress.heard_at >= election_timeout_us
+
+    def _apply_change(self, change: PendingMembershipChange) -> None:
+        state = self._state
+        member = self._member_named(change.name)
+        others = tuple(each for each in state.members if each.name != change.name)
+        if member is not None and (not change.add or member.incarnation != change.incarnation):
+            self._remove_or_replace(change, member, others)
+        elif change.add and member is None:
+            self._append_members((*others, ms.Member(change.name, change.incarnation, False)))
+        else:
+            if change.ticket is not None:
+                state.act(ev.CompleteRequest(change.ticket))
+            state.leading.membership_change = None
+
+    def _remove_or_replace(
+        self, change: PendingMembershipChange, member: ms.Member, others: ms.Members
+    ) -> None:
+        state = self._state
+        if member.incarnation == state.incarnation and state.other_voters():
+            self._transfer.start_or_continue()
+            return
+        if member.is_voter and not any(each.is_voter for each in others):
+            self.abandon("the last voter has to stay")
+            return
+        if change.add:
+            # One voter less and one learner more in one step: otherwise a crash between the two would
+            # leave the member removed, with nobody to add it again.
+            self._append_members((*others, ms.Member(change.name, change.incarnation, False)))
+        else:
+            self._append_members(others)
+
+    def _append_members(self, members: ms.Members) -> None:
+        state = self._state
+        entry = ms.LogEntry(state.term, ms.EntryKind.MEMBERS, encode_members(members))
+        self._replication.append_entry(entry)
+        state.leading.followers = {
+            incarnation: progress
+            for incarnation, progress in state.leading.followers.items()
+            if find_member(members, incarnation) is not None
+        }
--- /dev/null
+++ b/lotusstream/quorum/read_index.py
@@ -0,0 +1,45 @@
+"""Reads without a log entry: the leader first has a majority confirm that it still leads."""
+
+from __future__ import annotations
+
+from lotusstream.quorum import events as ev
+from lotusstream.quorum.state import RaftState, ReadIndexRequest, Role
+
+
+class ReadIndex:
+    """Completes reads once they see everything that was committed before they came.
+
+    A read waits for a heartbeat round that begins after it came. Without that wait a deposed leader, which
+    has not heard of its successor yet, would serve stale data.
+    """
+
+    def __init__(self, state: RaftState) -> None:
+        self._state = state
+
+    def on_read(self, ticket: int) -> None:
+        """Queues a read and makes a heartbeat round due at once."""
+        state = self._state
+        if state.role != Role.LEADER:
+            state.fail_request(ticket, "not the leader", state.leader)
+            return
+        leading = state.leading
+        leading.pending_reads.append(ReadIndexRequest(ticket, leading.heartbeat_round + 1))
+        leading.next_heartbeat_at = state.now
+
+    def complete_reads(self) -> None:
+        """Completes the reads whose round a majority has answered."""
+        state = self._state
+        leading = state.leading
+        waiting = []
+        for read in leading.pending_reads:
+            answered = self._answered_since(read.round)
+            if state.is_majority(answered | {state.incarnation}):
+                state.act(ev.CompleteRequest(read.ticket))
+            else:
+                waiting.append(read)
+        leading.pending_reads = waiting
+
+    def _answered_since(self, round: int) -> set[str]:
+        """Incarnations that answered this heartbeat round or a later one."""
+        followers = self._state.leading.followers
+        return {each for each, progress in followers.items() if progress.acked_round >= round}
--- a/tests/golden/test_golden_ctl.py
+++ b/tests/golden/test_golden_ctl.py
@@ -12,7 +12,7 @@
 import lotusstream
 from lotusstream.cells.migration import MigrationStep
 from lotusstream.interface import Outcome, RejectionReason
-from lotusstream.quorum import node
+from lotusstream.quorum.state import Role
 
 PROGRAM = Path(lotusstream.__file__).parent
 PAGES = FOLDER.parent.parent / "docs"
@@ -54,7 +54,7 @@
 def test_what_is_put_into_names_of_counters_stays() -> None:
     """Counted as `sends OUTCOME` and `sent again after OUTCOME`, `no result: REASON`, `moves STEP`, and
     `quorum became ROLE`."""
-    roles = (node.EMPTY, node.FOLLOWER, node.ASKING, node.CANDIDATE, node.LEADER)
+    roles = (Role.EMPTY, Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE, Role.LEADER)
     told = {
         "outcome": [f"{outcome.value} {outcome.name.lower()}" for outcome in Outcome],
         "reason": [f"{reason.value} / {reason.name.lower()}" for reason in RejectionReason],
--- a/tests/quorum/test_seeds.py
+++ b/tests/quorum/test_seeds.py
@@ -9,7 +9,7 @@
 from lotusstream.lab.exhaustive import Scope as Scope3
 from lotusstream.lab.exhaustive import Search
 from lotusstream.lab.virtual import Scene, play
-from lotusstream.quorum.node import RaftNode
+from lotusstream.quorum.state import RaftState
 
 SPAN = 40
 
@@ -38,5 +38,5 @@
 
 
 def test_the_search_sees_a_quorum_of_half():
-    with mock.patch.object(RaftNode, "_majority", lambda self, disks: True):
+    with mock.patch.object(RaftState, "is_majority", lambda self, incarnations: True):
         assert Search(Scope3(2, 0, 0, 0)).run().broken
