--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -15,8 +15,10 @@
 from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.node import RaftNode
+from lotusstream.quorum.election import Election
+from lotusstream.quorum.read_index import ReadIndex
 from lotusstream.quorum.replicated_log import ReplicatedLog
+from lotusstream.quorum.state import RaftState
 
 SCENE = Scene()
 
@@ -32,25 +34,27 @@
 
 def _before_fsync() -> Any:
     """Votes and acknowledgements leave before what they rest on is on the disk."""
-    say = RaftNode._say
+    send = RaftState.send
 
-    def hasty(self: RaftNode, to: str, to_disk: str, body: Any, *, rests: bool) -> None:
-        say(self, to, to_disk, body, rests=False)
+    def send_at_once(
+        self: RaftState, name: str, incarnation: str, message: Any, *, after_persist: bool
+    ) -> None:
+        send(self, name, incarnation, message, after_persist=False)
 
-    return mock.patch.object(RaftNode, "_say", hasty)
+    return mock.patch.object(RaftState, "send", send_at_once)
 
 
 def _from_the_reply() -> Any:
     """The holder counts its time from when the answer came."""
-    answered = holder.LeaseHolder._answered
+    answered = holder.LeaseHolder._on_reply
 
     def late(self: holder.LeaseHolder, event: holder.LeaseReplyReceived) -> None:
         for each in self._tasks.values():
-            if each.ask == event.ask:
-                each.asked = self._now
+            if each.pending_number == event.number:
+                each.sent_at = self._now
         answered(self, event)
 
-    return mock.patch.object(holder.LeaseHolder, "_answered", late)
+    return mock.patch.object(holder.LeaseHolder, "_on_reply", late)
 
 
 def _no_margin() -> Any:
@@ -59,18 +63,18 @@
 
     def full(self: virtual.VirtualFleet, node: virtual.HolderNode) -> holder.LeaseHolder:
         made = make(self, node)
-        made._terms = replace(self.scene.terms, margin=0)
+        made._timing = replace(self.scene.terms, safety_margin_us=0)
         return made
 
     return mock.patch.object(virtual.VirtualFleet, "_holder", full)
 
 
 def _half_is_enough() -> Any:
-    def half(self: RaftNode, disks: set[str]) -> bool:
-        voters = [member.disk for member in self._voters()]
-        return 2 * sum(disk in disks for disk in voters) >= len(voters)
+    def is_half(self: RaftState, incarnations: set[str]) -> bool:
+        voters = [member.incarnation for member in self.voters()]
+        return 2 * sum(voter in incarnations for voter in voters) >= len(voters)
 
-    return mock.patch.object(RaftNode, "_majority", half)
+    return mock.patch.object(RaftState, "is_majority", is_half)
 
 
 def _wiped_disk_votes() -> Any:
@@ -81,15 +85,15 @@
         if not self._whole():
             return
         assert node.desk is not None
-        keeper = node.desk.keeper
-        first = keeper.journal.snapshot
+        keeper = node.desk.node
+        first = keeper.log.snapshot
         self.down(node)
         node.disk = virtual.VirtualDisk()
-        founders = ms.Snapshot(0, 0, first.group, first.members)
-        node.disk.synced = [ms.IncarnationRecord(keeper.disk), ms.SnapshotRecord(founders)]
+        founders = ms.Snapshot(0, 0, first.cluster_id, first.members)
+        node.disk.synced = [ms.IncarnationRecord(keeper.incarnation), ms.SnapshotRecord(founders)]
         self.back(node, 100_000)
 
-    trusting = mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
+    trusting = mock.patch("lotusstream.quorum.join.is_older_copy", lambda mine, heard: False)
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(virtual.VirtualFleet, "_fault_wipe", wiped))
     stack.enter_context(trusting)
@@ -97,17 +101,19 @@
 
 
 def _older_copy_votes() -> Any:
-    return mock.patch("lotusstream.quorum.node.is_older_copy", lambda mine, heard: False)
+    return mock.patch("lotusstream.quorum.join.is_older_copy", lambda mine, heard: False)
 
 
 def _stale_read() -> Any:
     """A leader answers reads without asking whether it still leads."""
 
-    def serve(self: RaftNode) -> None:
-        self._out += [ev.CompleteRequest(reading.ticket) for reading in self._readings]
-        self._readings = []
+    def complete_at_once(self: ReadIndex) -> None:
+        leading = self._state.leading
+        for read in leading.pending_reads:
+            self._state.act(ev.CompleteRequest(read.ticket))
+        leading.pending_reads = []
 
-    return mock.patch.object(RaftNode, "_serve_readings", serve)
+    return mock.patch.object(ReadIndex, "complete_reads", complete_at_once)
 
 
 def _forgotten_token() -> Any:
@@ -116,7 +122,7 @@
 
     def forgets(cls: Any, state: bytes) -> table.LeaseTable:
         made: table.LeaseTable = load(cls, state)
-        made._next = 1
+        made._next_token = 1
         return made
 
     return mock.patch.object(table.LeaseTable, "load", classmethod(forgets))
@@ -124,33 +130,33 @@
 
 def _renewals_unseen() -> Any:
     """The leader runs a lease out though it was renewed meanwhile."""
-    due = LeaseExpiryTracker.due
+    due = LeaseExpiryTracker.expired_leases
 
     def deaf(
         self: LeaseExpiryTracker, now: int, term: int, leases: table.LeaseTable
     ) -> list[table.ExpireLease]:
-        for task, seen in self._seen.items():
+        for task, seen in self._observed.items():
             if (lease := leases.leases.get(task)) is not None and lease.token == seen.token:
-                seen.renewed = lease.renewed
+                seen.renewal_count = lease.renewal_count
         return due(self, now, term, leases)
 
-    return mock.patch.object(LeaseExpiryTracker, "due", deaf)
+    return mock.patch.object(LeaseExpiryTracker, "expired_leases", deaf)
 
 
 def _no_log_check() -> Any:
     """A vote for whoever asks, whatever its log lacks."""
-    asked = RaftNode._asked
+    on_request_vote = Election.on_request_vote
 
-    def kind(self: RaftNode, envelope: Any, ask: Any) -> None:
-        better = type(ask)(ask.term, 10**9, 10**9, ask.pre, ask.forced)
-        asked(self, envelope, better)
+    def ignore_the_log(self: Election, envelope: ms.RaftEnvelope, request: ms.RequestVote) -> None:
+        up_to_date = ms.RequestVote(request.term, 10**9, 10**9, request.is_pre_vote, request.is_transfer)
+        on_request_vote(self, envelope, up_to_date)
 
-    return mock.patch.object(RaftNode, "_asked", kind)
+    return mock.patch.object(Election, "on_request_vote", ignore_the_log)
 
 
 def _cut_is_forgotten() -> Any:
     """Entries that conflict with the leader's stay where they are."""
-    return mock.patch.object(ReplicatedLog, "cut", lambda self, first: None)
+    return mock.patch.object(ReplicatedLog, "truncate_from", lambda self, first: None)
 
 
 HARD = replace(SCENE, faults=("crash", "cut", "one-way", "disk"), fault_every=400_000, loss=0.05)
@@ -162,7 +168,9 @@
     fault_every=300_000,
     slow=0.2,
 )
-SNAPPY = replace(SCENE, faults=("crash", "unwant"), fault_every=400_000, pace=replace(SCENE.pace, kept=4))
+SNAPPY = replace(
+    SCENE, faults=("crash", "unwant"), fault_every=400_000, pace=replace(SCENE.pace, compaction_entry_count=4)
+)
 PLANTED = (
     Planted(
         "answers before fsync",
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -18,8 +18,10 @@
 from lotusstream.lab.world import Broken
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
-from lotusstream.quorum.node import LEADER, RaftNode, RaftTiming
+from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
+from lotusstream.quorum.state import Role
+from lotusstream.quorum.timing import RaftTiming
 
 PACE = RaftTiming(100, 1000)
 NAMES = ("a", "b", "c")
@@ -67,7 +69,7 @@
 
 def _begun(name: str, disk: list[ms.RaftRecord]) -> RaftNode:
     keeper = RaftNode(name, PersistedState(disk), "", NAMES, PACE, 1, 0)
-    keeper._proven = True  # that its disk is no older copy is not what is looked at here
+    keeper.state.is_verified = True  # that its disk is no older copy is not what is looked at here
     return keeper
 
 
@@ -105,9 +107,9 @@
                 if left.losses:
                     yield "lose", at
         for at, keeper in enumerate(world.keepers):
-            if left.timeouts and keeper.role != LEADER:
+            if left.timeouts and keeper.role != Role.LEADER:
                 yield "time-out", at
-            if left.proposals and keeper.role == LEADER:
+            if left.proposals and keeper.role == Role.LEADER:
                 yield "propose", at
             if left.crashes:
                 yield "crash", at
@@ -119,14 +121,14 @@
         match kind:
             case "deliver":
                 envelope = _ENVELOPES.decode(world.flying.pop(at))
-                self._tell(world, NAMES.index(envelope.to), ev.MessageReceived(envelope))
+                self._tell(world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope))
             case "lose":
                 world.left = replace(world.left, losses=world.left.losses - 1)
                 lost = _line(world.flying[at])
                 world.flying = [word for word in world.flying if _line(word) != lost]
             case "time-out":
                 world.left = replace(world.left, timeouts=world.left.timeouts - 1)
-                world.nows[at] += 10 * PACE.election
+                world.nows[at] += 10 * PACE.election_timeout_us
                 self._tell(world, at, ev.RaftTimeAdvanced())
             case "propose":
                 world.left = replace(world.left, proposals=world.left.proposals - 1)
@@ -136,7 +138,9 @@
                 if kind == "crash-unsaved" and world.flying:
                     # as if it had ended before the sync of its next word: that word was never said
                     envelope = _ENVELOPES.decode(world.flying[-1])
-                    self._tell(world, NAMES.index(envelope.to), ev.MessageReceived(envelope), saves=False)
+                    self._tell(
+                        world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope), saves=False
+                    )
                 world.nows[at] = 0
                 world.keepers[at] = _begun(NAMES[at], world.disks[at])
 
@@ -151,7 +155,9 @@
                         return
                     world.disks[at] = [*([] if rewrite else world.disks[at]), *records]
                     todo += keeper.handle(world.nows[at], ev.RecordsPersisted(number))
-                case ev.SendMessage(envelope) if not isinstance(envelope.body, ms.JoinRequest | ms.JoinReply):
+                case ev.SendMessage(envelope) if not isinstance(
+                    envelope.message, ms.JoinRequest | ms.JoinReply
+                ):
                     word = msgspec.msgpack.encode(envelope)
                     if word not in world.flying:
                         world.flying.append(word)
@@ -159,29 +165,48 @@
                     told = bytes([kind]) + data
                     if world.applied.setdefault(index, told) != told:
                         raise Broken(f"{keeper.name} applied something else at {index}")
-        if keeper.role == LEADER and world.leaders.setdefault(keeper.term, keeper.name) != keeper.name:
+        if keeper.role == Role.LEADER and world.leaders.setdefault(keeper.term, keeper.name) != keeper.name:
             raise Broken(f"term {keeper.term} has two leaders")
 
     @staticmethod
     def _print(world: World) -> bytes:
         """What tells one state from another; the way there does not."""
-        keepers = [
-            (
-                each.role, each.term, each.vote, each.leader, each.commit, sorted(each._votes),
-                [(e.term, int(e.kind), e.data) for e in each.journal.after(0, 1 << 30)],
-                sorted((disk, f.next, f.match, f.out, f.upto) for disk, f in each._followers.items()),
-                each._heard_leader == now,
-            )
-            for each, now in zip(world.keepers, world.nows, strict=True)
-        ]  # fmt: skip
+        keepers = [_fingerprint(each, now) for each, now in zip(world.keepers, world.nows, strict=True)]
         left = world.left
         bounds = (left.timeouts, left.proposals, left.crashes, left.losses)
         return msgspec.msgpack.encode((keepers, sorted(world.flying, key=_line), bounds))
 
 
+def _fingerprint(node: RaftNode, now: int) -> tuple[Any, ...]:
+    """What tells one state of a node from another."""
+    state = node.state
+    entries = [(entry.term, int(entry.kind), entry.data) for entry in state.log.entries_after(0, 1 << 30)]
+    followers = sorted(
+        (
+            incarnation,
+            progress.next_index,
+            progress.match_index,
+            progress.is_in_flight,
+            progress.last_in_flight_index,
+        )
+        for incarnation, progress in state.leading.followers.items()
+    )
+    return (
+        state.role.value,
+        state.term,
+        state.voted_for,
+        state.leader,
+        state.commit_index,
+        sorted(state.candidate.votes),
+        entries,
+        followers,
+        state.follower.heard_leader_at == now,
+    )
+
+
 _ENVELOPES: msgspec.msgpack.Decoder[ms.RaftEnvelope] = msgspec.msgpack.Decoder(ms.RaftEnvelope)
 
 
 def _line(word: bytes) -> tuple[str, str]:
     envelope = _ENVELOPES.decode(word)
-    return envelope.sender, envelope.to
+    return envelope.sender, envelope.recipient
