--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -99,9 +99,9 @@
     """What a whole list withdraws is passed over."""
     changed_entries = endpoint_registry.EndpointRegistry.changed_entries
 
-    def only_ready(self: endpoint_registry.EndpointRegistry, notice: Any) -> list[Any]:
-        found = changed_entries(self, notice)
-        if not notice.is_snapshot:
+    def only_ready(self: endpoint_registry.EndpointRegistry, update: Any) -> list[Any]:
+        found = changed_entries(self, update)
+        if not update.is_snapshot:
             return found
         return [each for each in found if each.entry.status is api.EndpointStatus.READY]
 
--- a/lotusstream/net/attempt_dispatcher.py
+++ b/lotusstream/net/attempt_dispatcher.py
@@ -7,8 +7,9 @@
 from lotusstream import interface as api
 from lotusstream.counters import Counters
 from lotusstream.deployment import Deployment
+from lotusstream.net.attempt_messages import AbortAttempt, AttemptFinished, ChangePriority, RunAttempt
 from lotusstream.net.commitment_gate import AttemptControl, AttemptReady
-from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
+from lotusstream.net.endpoint import EndpointActor
 from lotusstream.net.endpoint_registry import EndpointRegistry
 from lotusstream.net.open_requests import OpenRequest
 
--- a/lotusstream/net/commitment_gate.py
+++ b/lotusstream/net/commitment_gate.py
@@ -10,8 +10,9 @@
 from typing import Protocol
 
 from lotusstream import interface as api
+from lotusstream.net.attempt_messages import AbortAttempt, ChangePriority, RunAttempt
 from lotusstream.net.client import ReceivedRequest
-from lotusstream.net.endpoint import AbortAttempt, ChangePriority, EndpointActor, RunAttempt
+from lotusstream.net.endpoint import EndpointActor
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -15,6 +15,7 @@
 from lotusstream.deployment import Deployment
 from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
 from lotusstream.net.actor import Actor, Supervisor
+from lotusstream.net.attempt_messages import AbortAttempt, AttemptFinished, ChangePriority, RunAttempt
 from lotusstream.net.clock import Clock
 from lotusstream.net.commitment_gate import (
     AnswerReady,
@@ -27,7 +28,7 @@
 from lotusstream.net.connection import US
 from lotusstream.net.decider import Decider
 from lotusstream.net.decider_messages import SubsystemEvent
-from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
+from lotusstream.net.endpoint import EndpointActor
 from lotusstream.operator.fleet import FleetSettings
 from lotusstream.protocol import peers as wire
 
--- a/lotusstream/net/decider.py
+++ b/lotusstream/net/decider.py
@@ -12,6 +12,7 @@
 from lotusstream.net.action_executor import ActionExecutor
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.attempt_dispatcher import AttemptDispatcher
+from lotusstream.net.attempt_messages import AttemptFinished
 from lotusstream.net.batch_limiter import BatchLimiter
 from lotusstream.net.client import ReceivedRequest, RequestAbandoned, RequestOverdue
 from lotusstream.net.clock import Clock
@@ -27,7 +28,7 @@
 )
 from lotusstream.net.decision_module import DecisionModuleHost, WrapModule
 from lotusstream.net.decision_timers import DecisionTimers
-from lotusstream.net.endpoint import AttemptFinished, EndpointActor
+from lotusstream.net.endpoint import EndpointActor
 from lotusstream.net.endpoint_list_feed import EndpointListFeed
 from lotusstream.net.endpoint_registry import EndpointRegistry
 from lotusstream.net.open_requests import OpenRequestTable
--- a/lotusstream/net/decider_messages.py
+++ b/lotusstream/net/decider_messages.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from lotusstream import interface as api
+from lotusstream.net.attempt_messages import AttemptFinished
 from lotusstream.net.client import ReceivedRequest, RequestAbandoned, RequestOverdue
 from lotusstream.net.commitment_gate import AnswerReady
-from lotusstream.net.endpoint import AttemptFinished
 from lotusstream.protocol import discovery
 
 
--- a/lotusstream/net/endpoint_registry.py
+++ b/lotusstream/net/endpoint_registry.py
@@ -1,7 +1,8 @@
 """The listed endpoints, and the actors of those that are in use.
 
-An actor is made at the first attempt at its endpoint and ends once it has long been idle: what a gateway
-holds follows from its traffic and not from the length of the list. Whole lists are applied by what differs.
+An actor is made at the first attempt at its endpoint and ends once it has been idle for the idle time-out:
+what a gateway holds follows from its traffic and not from the length of the list. A snapshot of the list is
+applied by what it changes.
 """
 
 from __future__ import annotations
@@ -12,87 +13,99 @@
 from lotusstream import interface as api
 from lotusstream.net.connection import Address
 from lotusstream.net.endpoint import EndpointActor, EndpointListingChanged
-from lotusstream.protocol.discovery import EndpointListUpdate, ListedEndpoint
+from lotusstream.protocol.discovery import EndpointListUpdate, ListedEndpoint, is_ready
 
-MAX_CLOSED_PER_EVALUATION = 8  # actors looked at in one go
+MAX_CLOSED_PER_EVALUATION = 8  # actors that one periodic evaluation looks at
+
+MakeActor = Callable[[api.EndpointId, Address], EndpointActor]
 
 
 class EndpointRegistry:
-    """`make`: an actor for an endpoint at its address. `idle_timeout`: after which an actor ends,
-    microseconds."""
+    """Holds the endpoint list, and at most one actor for each endpoint on it."""
 
-    def __init__(self, make: Callable[[api.EndpointId, Address], EndpointActor], idle_timeout: int) -> None:
+    def __init__(self, make_actor: MakeActor, idle_timeout: int) -> None:
+        """`make_actor`: for an endpoint at its address. `idle_timeout`: after which an actor ends,
+        microseconds."""
         self.listed: dict[api.EndpointId, ListedEndpoint] = {}
-        self._make, self._idle_timeout = make, idle_timeout
-        self._actors: dict[api.EndpointId, EndpointActor] = {}  # by their last use, the longest ago first
-        self._retired: dict[EndpointActor, None] = {}  # of endpoints that are gone or have moved
+        self._make_actor = make_actor
+        self._idle_timeout = idle_timeout
+        self._actors: dict[api.EndpointId, EndpointActor] = {}  # least recently used first
+        self._retired: dict[EndpointActor, None] = {}  # of endpoints that were removed or have moved
 
     def __len__(self) -> int:
         return len(self.listed)
 
-    def changed_entries(self, notice: EndpointListUpdate) -> list[ListedEndpoint]:
-        """What a list says anew, withdrawn endpoints first. An endpoint that a whole list leaves out is
-        gone."""
-        changed = {each.entry.id: each for each in notice.endpoints if self.listed.get(each.entry.id) != each}
-        if notice.is_snapshot:
-            named = {each.entry.id for each in notice.endpoints}
-            for engine, before in self.listed.items():
-                if engine not in named:
-                    changed[engine] = replace(before, entry=_removed(before.entry))
-        return sorted(changed.values(), key=lambda each: each.entry.status is api.EndpointStatus.READY)
-
-    def apply(self, listed: Iterable[ListedEndpoint]) -> None:
-        for each in listed:
-            self._apply(each)
+    def changed_entries(self, update: EndpointListUpdate) -> list[ListedEndpoint]:
+        """What an update changes, endpoints that are not ready first. An endpoint that a snapshot leaves out
+        is removed."""
+        changed: dict[api.EndpointId, ListedEndpoint] = {}
+        for listed in update.endpoints:
+            if self.listed.get(listed.entry.id) != listed:
+                changed[listed.entry.id] = listed
+        if update.is_snapshot:
+            included = {listed.entry.id for listed in update.endpoints}
+            for endpoint_id, before in self.listed.items():
+                if endpoint_id not in included:
+                    changed[endpoint_id] = replace(before, entry=_removed(before.entry))
+        return sorted(changed.values(), key=is_ready)
+
+    def apply(self, changed: Iterable[ListedEndpoint]) -> None:
+        """Takes over changed entries, and notifies the actors of their endpoints."""
+        for listed in changed:
+            self._apply(listed)
 
     def _apply(self, listed: ListedEndpoint) -> None:
-        engine, entry = listed.entry.id, listed.entry
-        before = self.listed.get(engine)
-        if entry.status is api.EndpointStatus.REMOVED:
-            self.listed.pop(engine, None)
+        entry = listed.entry
+        before = self.listed.get(entry.id)
+        is_removed = entry.status is api.EndpointStatus.REMOVED
+        if is_removed:
+            self.listed.pop(entry.id, None)
         else:
-            self.listed[engine] = listed
-        actor = self._actors.get(engine)
+            self.listed[entry.id] = listed
+        actor = self._actors.get(entry.id)
         if actor is None:
             return
-        moved = listed.address is not None and listed.address != actor.address
-        restarted = moved or (before is not None and before.entry.started_at != entry.started_at)
-        actor.post(EndpointListingChanged(entry.status is api.EndpointStatus.READY and not moved, restarted))
-        if moved or entry.status is api.EndpointStatus.REMOVED:
-            self._retired[self._actors.pop(engine)] = None
-
-    def actor(self, engine: api.EndpointId) -> EndpointActor | None:
+        has_moved = listed.address is not None and listed.address != actor.address
+        restarted = has_moved or (before is not None and before.entry.started_at != entry.started_at)
+        actor.post(EndpointListingChanged(is_ready=is_ready(listed) and not has_moved, restarted=restarted))
+        if has_moved or is_removed:
+            del self._actors[entry.id]
+            self._retired[actor] = None
+
+    def actor(self, endpoint_id: api.EndpointId) -> EndpointActor | None:
         """For an attempt that is to begin; None where the endpoint is not listed or has no address."""
-        listed = self.listed.get(engine)
-        actor = self._actors.pop(engine, None)
+        listed = self.listed.get(endpoint_id)
+        actor = self._actors.pop(endpoint_id, None)
         if actor is None:
             if listed is None or listed.address is None:
                 return None
-            actor = self._make(engine, listed.address)
-            actor.is_ready = listed.entry.status is api.EndpointStatus.READY
+            actor = self._make_actor(endpoint_id, listed.address)
+            actor.set_ready(is_ready(listed))
             actor.start()
-        self._actors[engine] = actor
+        self._actors[endpoint_id] = actor
         return actor
 
     def addresses(self) -> dict[api.EndpointId, str]:
+        """`host:port` of each endpoint that has an address."""
         return {
-            engine: f"{listed.address[0]}:{listed.address[1]}"
-            for engine, listed in self.listed.items()
+            endpoint_id: f"{listed.address[0]}:{listed.address[1]}"
+            for endpoint_id, listed in self.listed.items()
             if listed.address is not None
         }
 
     def close_idle_actors(self, now: int) -> None:
-        """Ends actors that are idle, or whose endpoint is gone, a few at a time."""
+        """Periodic evaluation: ends the actors of removed endpoints that have no attempt in flight, and some
+        of those that are idle. `now`: in microseconds."""
         for actor in [actor for actor in self._retired if not actor.in_flight]:
             del self._retired[actor]
             actor.close()
         for _ in range(min(MAX_CLOSED_PER_EVALUATION, len(self._actors))):
-            engine, actor = next(iter(self._actors.items()))
+            endpoint_id, actor = next(iter(self._actors.items()))
             if now - actor.used_at < self._idle_timeout:
                 return
-            del self._actors[engine]
+            del self._actors[endpoint_id]
             if actor.in_flight:
-                self._actors[engine] = actor
+                self._actors[endpoint_id] = actor
             else:
                 actor.close()
 
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -34,6 +34,7 @@
 from lotusstream import interface as api
 from lotusstream.deployment import read_settings
 from lotusstream.net.actor import Supervisor
+from lotusstream.net.attempt_messages import AbortAttempt, RunAttempt
 from lotusstream.net.client import (
     ClientConnection,
     ClientConnectionLimiter,
@@ -47,7 +48,7 @@
 from lotusstream.net.connection import Connection, ConnectionPool, SocketBudget
 from lotusstream.net.decider import Decider
 from lotusstream.net.discovery import DiscoveryActor
-from lotusstream.net.endpoint import AbortAttempt, EndpointActor, EndpointListingChanged, RunAttempt
+from lotusstream.net.endpoint import EndpointActor, EndpointListingChanged
 from lotusstream.net.gateway import GatewayServer
 from lotusstream.protocol import discovery, front, http
 
@@ -206,7 +207,9 @@
     await stand_in.start()
     stand_in.acts, budget = "is silent", SocketBudget(8)
     endpoint = ("127.0.0.1", stand_in.port)
-    actor = EndpointActor(b"s-1", endpoint, budget, 1 * MS, 30 * S, clock, told.add, supervisor, copies=False)
+    actor = EndpointActor(
+        b"s-1", endpoint, budget, 1 * MS, 30 * S, clock, told.add, supervisor, allows_hedging=False
+    )
     actor.start()
     actor.post(start_send(0, clock))
     await stand_in.calls.until(lambda call: call.method == "POST")
@@ -260,7 +263,7 @@
     )
     await until(lambda: decider.has_endpoint_list)
     actor = decider._endpoints.actor(engine(1).id)
-    assert actor is not None and actor._copies == allowed
+    assert actor is not None and actor.allows_hedging == allowed
     await supervisor.stop()
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,6 +19,7 @@
 from lotusstream.cli import main
 from lotusstream.deployment import read_settings
 from lotusstream.net.actor import Actor, Supervisor
+from lotusstream.net.attempt_messages import AbortAttempt, AttemptFinished, ChangePriority, RunAttempt
 from lotusstream.net.buffer import Buffer, BufferFullError
 from lotusstream.net.client import (
     ClientConnection,
@@ -31,14 +32,7 @@
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import Connection, ConnectionPool, NoDescriptorError, SocketBudget
 from lotusstream.net.decider import Decider
-from lotusstream.net.endpoint import (
-    AbortAttempt,
-    AttemptFinished,
-    ChangePriority,
-    EndpointActor,
-    EndpointListingChanged,
-    RunAttempt,
-)
+from lotusstream.net.endpoint import EndpointActor, EndpointListingChanged
 from lotusstream.policy import Gateway
 from lotusstream.protocol import front
 from lotusstream.protocol.http import HttpResponse, HttpResponseReader
