--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -72,7 +72,7 @@
         return True
 
     client.ReceivedRequest.is_awaited = waits  # type: ignore[method-assign]
-    client.ClientConnection._abandon = lambda self, command: None  # type: ignore[method-assign]
+    client.ClientConnection._abandon = lambda self, request: None  # type: ignore[method-assign]
 
 
 def long_deadline() -> None:
--- a/lotusstream/net/client.py
+++ b/lotusstream/net/client.py
@@ -1,4 +1,4 @@
-"""One client connection: reads its messages, writes its answers."""
+"""One client connection: reads its messages and writes its replies."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 from lotusstream.deployment import Deployment
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.buffer import Buffer, BufferFullError
+from lotusstream.net.client_limits import ClientConnectionLimiter, UnreadReplies
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import bytes_there
 from lotusstream.protocol import front
 from lotusstream.protocol.tables import table_group
 
+INITIAL_BUFFER_BYTES = 4096
+
 
 @dataclass(slots=True, eq=False)
 class ReceivedRequest:
-    """A command from its last byte until its answer is owed no more."""
+    """A request from its last byte until no answer is owed any more. Times are in microseconds."""
 
     client: ClientConnection
-    seqid: int
+    seqid: int  # of the client's message
     fields: front.RequestFields
-    group: int
+    group: int  # table group of the statement
     statement: bytes
     deadline: int
     sent_at: int  # as early as it may have been: it can have waited unread for a turn of the loop
@@ -34,200 +37,105 @@
     closed: bool = False  # answered, or its client waits no longer
 
     def is_awaited(self) -> bool:
-        """Whether the client still waits: also told where its close has come and is not yet read."""
+        """Whether the client still waits: False too where its close has come and is not read yet."""
         return not self.closed and not self.client.has_disconnected()
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """The client waits no longer for this command."""
+    """The client waits no longer for this request."""
 
     request: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
 class RequestOverdue:
-    """The client's time for this command is over, and it has had no answer."""
+    """The deadline of this request has passed, and it has had no reply."""
 
     request: ReceivedRequest
 
 
 @dataclass(frozen=True, slots=True)
 class ClientReply:
-    frame: bytes
-    request: ReceivedRequest | None = None
+    """A frame to be written to the client."""
 
+    frame: bytes
+    request: ReceivedRequest | None = None  # that it is the reply to, and closes
 
-TenantLookup = Callable[[dict[str, str], str | None, str], str | None]  # fields, mark, statement
-ReportClientEvent = Callable[[ReceivedRequest | RequestAbandoned], None]
 
+TenantLookup = Callable[[dict[str, str], str | None, str], str | None]
+"""The tenant of a request, by its fields, its idempotency key and its statement."""
 
-class UnreadReplies:
-    """Answers that clients have not taken yet. Guards memory against slow readers: over the limit, the one
-    with the most is cut off, and its commands end as those of a client that left."""
-
-    def __init__(self, most: int) -> None:
-        self._most, self.total = most, 0
-        self._of: dict[ClientConnection, int] = {}
-
-    def add(self, client: ClientConnection, size: int) -> None:
-        self._of[client] = self._of.get(client, 0) + size
-        self.total += size
-        while self.total > self._most:
-            slowest = max(self._of, key=self._of.__getitem__)
-            self.forget(slowest)
-            slowest.cut_off()
-
-    def acknowledge(self, client: ClientConnection, size: int) -> None:
-        if client in self._of:
-            self._of[client] -= size
-            self.total -= size
-
-    def forget(self, client: ClientConnection) -> None:
-        self.total -= self._of.pop(client, 0)
-
-
-class ClientConnectionLimiter:
-    """The descriptors that clients may hold. Guards those that ask against those that only hold on: a
-    connection without an open command is closed once it has been idle for as long as clients keep one, has
-    sent no whole message in time, or stands in the way of a new one; the silent first, then the longest
-    idle, and last of all those that have begun to write. Could harm a client whose message crosses the close:
-    it is to send it again.
-
-    It is closed on our side first (half-closed), and whole once the client has closed too: a socket that is
-    closed over bytes that nobody reads is reset, and the reset takes along what the client has not read yet.
-    That many (`most_closing`) may be half-closed at once; beyond them the longest is ended."""
-
-    def __init__(self, most: int, most_closing: int, clock: Clock, supervisor: Supervisor) -> None:
-        self._most, self._clock, self._counters = most, clock, supervisor.counters
-        self._count, self._most_closing = 0, most_closing
-        self._closing = dict[ClientConnection, int]()  # half-closed since when, the longest first
-        self.stopping = False  # nobody gives way: what crosses a close could not come again
-        # since when, the longest first: nothing whole has come yet, and nothing is open
-        self._silent, self._idle = dict[ClientConnection, int](), dict[ClientConnection, int]()
-
-    def admit(self, client: ClientConnection) -> bool:
-        if self._count >= self._most and not self._close_one():
-            self._counters.add("client connections without room")
-            return False
-        self._count += 1
-        self._silent[client] = self._clock.now()
-        self._counters.add("client connections")
-        self._counters.peak("client connections", self._count)
-        return True
-
-    def release(self, client: ClientConnection) -> None:
-        self.mark_busy(client)
-        if self._closing.pop(client, None) is None:
-            self._count -= 1
-
-    def mark_busy(self, client: ClientConnection) -> None:
-        self._silent.pop(client, None)
-        self._idle.pop(client, None)
-
-    def mark_idle(self, client: ClientConnection) -> None:
-        self.mark_busy(client)
-        self._idle[client] = self._clock.now()
-
-    def evaluate(self) -> None:
-        """Now and then: what has been silent or idle for too long."""
-        now, in_time = self._clock.now(), front.FIRST_MESSAGE_TIMEOUT_US * 2 // 3  # for one whole message
-        for waiting, most in ((self._silent, in_time), (self._idle, front.CLIENT_IDLE_TIMEOUT_US)):
-            if self.stopping and waiting is self._idle:
-                break
-            for client, since in list(waiting.items()):
-                if now - since < most:
-                    break
-                if waiting is self._silent or now - (client.partial_since or 0) >= in_time:
-                    self._close(client)
-        for client, since in list(self._closing.items()):
-            if now - since < front.CLIENT_IDLE_TIMEOUT_US:
-                break
-            client.end()
-
-    def has_open_work(self) -> bool:
-        """A command is open, or something has come that is not read yet."""
-        resting = [*self._silent, *self._idle]
-        return self._count > len(resting) or any(client.has_unread_bytes() for client in resting)
-
-    def close_all(self) -> None:
-        """The end of a planned stop: whatever rests is half-closed, also over bytes that have just come."""
-        self._most_closing = self._count + len(self._closing)
-        for client in [*self._silent, *self._idle]:
-            self._close(client, at_all_events=True)
-
-    @property
-    def half_closed_count(self) -> int:
-        return len(self._closing)
-
-    def _close_one(self) -> bool:
-        resting = sorted([*self._silent, *self._idle], key=lambda client: client.partial_since is not None)
-        return not self.stopping and any(self._close(client) for client in resting)
-
-    def _close(self, client: ClientConnection, at_all_events: bool = False) -> bool:
-        if not client.half_close(at_all_events):
-            return False
-        self.mark_busy(client)
-        self._count -= 1
-        self._closing[client] = self._clock.now()
-        self._counters.add("client connections closed as idle")
-        for longest in [*self._closing][: max(0, len(self._closing) - self._most_closing)]:
-            longest.end()
-        return True
+ReportClientEvent = Callable[[ReceivedRequest | RequestAbandoned], None]
 
 
 class ClientConnection(Actor[ClientReply]):
+    """Owns the socket of one client. Its mailbox takes replies; `serve` reads and reports requests."""
+
     def __init__(
         self,
         sock: socket.socket,
         deployment: Deployment,
         clock: Clock,
         report: ReportClientEvent,
-        good: Callable[[], bool],
+        is_healthy: Callable[[], bool],
         unread: UnreadReplies,
-        share: ClientConnectionLimiter,
+        limiter: ClientConnectionLimiter,
         supervisor: Supervisor,
         tenant_of: TenantLookup | None = None,
     ) -> None:
+        """
+        :param report: takes requests, and those that the client waits for no longer.
+        :param is_healthy: the answer to health probes.
+        :param limiter: has admitted this connection before `serve` is called.
+        """
         super().__init__("client", supervisor)
+        self.open_requests: dict[int, ReceivedRequest] = {}  # by sequence number
+        self.partial_since: int | None = None  # when a message began that is incomplete, microseconds
+        self._sock = sock
+        self._deployment = deployment
+        self._clock = clock
+        self._report = report
+        self._is_healthy = is_healthy
+        self._unread = unread
+        self._limiter = limiter
         self._tenant_of = tenant_of
-        self._sock, self._deployment, self._share = sock, deployment, share
-        self._clock, self._report, self._good, self._unread = clock, report, good, unread
-        self._cut_off = self._writing = False
-        self.open_requests: dict[int, ReceivedRequest] = {}
-        self.partial_since: int | None = None  # when a message began that has not come whole
+        self._is_cut_off = False  # nothing more is written, and what comes is dropped
+        self._is_writing = False
 
     def post(self, message: ClientReply) -> None:
-        if not self._cut_off:
+        """Queues a reply, unless nothing more is written."""
+        if not self._is_cut_off:
             super().post(message)
             self._unread.add(self, len(message.frame))
 
     def cut_off(self) -> None:
+        """Disconnects a client that reads too slowly."""
         self.supervisor.counters.add("client connections cut off")
         self.end()
 
-    def half_close(self, at_all_events: bool = False) -> bool:
-        """Half-closes it where nothing is open or being written, and no byte has come meanwhile. What comes
-        from now on is read and dropped until the client closes."""
-        if (
-            self.open_requests
-            or self._writing
-            or len(self.mailbox)
-            or (self.has_unread_bytes() and not at_all_events)
-        ):
+    def half_close(self, even_if_unread: bool = False) -> bool:
+        """Half-closes the connection unless a request is open, a reply is being written or, but for
+        `even_if_unread`, bytes have come. What comes from now on is read and dropped until the client
+        closes. Returns whether it did."""
+        if self.open_requests or self._is_writing or len(self.mailbox):
             return False
-        self._cut_off = True
+        if self.has_unread_bytes() and not even_if_unread:
+            return False
+        self._is_cut_off = True
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
         return True
 
     def has_unread_bytes(self) -> bool:
+        """Whether bytes have come that are not read yet."""
         try:
             return bool(bytes_there(self._sock))
         except OSError:
             return False
 
     def has_disconnected(self) -> bool:
+        """Whether the client has closed, whether or not that is read yet."""
         try:
             return bytes_there(self._sock) is False
         except OSError:
@@ -235,73 +143,83 @@
 
     def end(self) -> None:
         """Nothing more is written, and the reader comes to its end."""
-        self._cut_off = True
+        self._is_cut_off = True
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
 
+    # Reading
+
     async def serve(self) -> None:
-        """Reads until the client leaves; its open commands leave with it. It is in the share already."""
+        """Reads until the client leaves, and abandons its open requests then."""
         self.start()
-        buffer = Buffer(4096, front.FRAME.size + front.MAX_FRAME_BYTES)
-        loop = asyncio.get_running_loop()
         try:
-            while count := await loop.sock_recv_into(self._sock, buffer.space()):
-                if self._cut_off:  # it crossed the close: not taken, the client sends it again
-                    await asyncio.sleep(0)
-                    continue
-                at, whole = self._clock.now(), False
-                buffer.filled(count)
-                while (length := front.frame_length(buffer.data())) is not None:
-                    if len(buffer) < front.FRAME.size + length:
-                        break
-                    whole = True
-                    frame = bytes(buffer.data()[front.FRAME.size : front.FRAME.size + length])
-                    buffer.use(front.FRAME.size + length)
-                    self._handle(frame, at)
-                    self._settle()
-                if not len(buffer):
-                    self.partial_since = None
-                elif whole or self.partial_since is None:
-                    self.partial_since = at
-                await asyncio.sleep(0)  # the turn of the others, however much this one sends
+            await self._read_messages()
         except (front.FrameError, BufferFullError) as error:
             self.supervisor.counters.add("client connections broken")
             self.supervisor.log.write("client", str(error))
         except OSError:
             self.supervisor.counters.add("client connections reset")
         finally:
-            self._cut_off = True
-            for command in self.open_requests.values():
-                self._abandon(command)
+            self._is_cut_off = True
+            for request in self.open_requests.values():
+                self._abandon(request)
             self.open_requests.clear()
             self._unread.forget(self)
             await self.stop()
             self._sock.close()
-            self._share.release(self)
-
-    def _abandon(self, command: ReceivedRequest) -> None:
-        """Marked here and now, a round before the decider hears of it: no send of it begins in between."""
-        command.closed = True
-        self._report(RequestAbandoned(command))
+            self._limiter.release(self)
 
-    def _settle(self) -> None:
-        """After each whole message and each answer."""
-        if self._cut_off:
+    async def _read_messages(self) -> None:
+        buffer = Buffer(INITIAL_BUFFER_BYTES, front.FRAME.size + front.MAX_FRAME_BYTES)
+        loop = asyncio.get_running_loop()
+        while count := await loop.sock_recv_into(self._sock, buffer.space()):
+            if not self._is_cut_off:  # otherwise it crossed the close: dropped, the client sends it again
+                arrived_at = self._clock.now()
+                buffer.filled(count)
+                has_message = self._handle_frames(buffer, arrived_at)
+                self._track_partial_message(buffer, has_message, arrived_at)
+            await asyncio.sleep(0)  # lets the other connections run, however much this one sends
+
+    def _handle_frames(self, buffer: Buffer, arrived_at: int) -> bool:
+        """Handles all complete frames. Returns whether there was one."""
+        has_frame = False
+        while (frame := _next_frame(buffer)) is not None:
+            has_frame = True
+            self._handle(frame, arrived_at)
+            self._update_limiter()
+        return has_frame
+
+    def _track_partial_message(self, buffer: Buffer, has_message: bool, arrived_at: int) -> None:
+        if not len(buffer):
+            self.partial_since = None
+        elif has_message or self.partial_since is None:
+            self.partial_since = arrived_at
+
+    def _abandon(self, request: ReceivedRequest) -> None:
+        """Closed here and now, a batch before the decider takes the report: no attempt begins in between."""
+        request.closed = True
+        self._report(RequestAbandoned(request))
+
+    def _update_limiter(self) -> None:
+        """To be called after each message and each reply."""
+        if self._is_cut_off:
             return
         if self.open_requests:
-            self._share.mark_busy(self)
+            self._limiter.mark_busy(self)
         else:
-            self._share.mark_idle(self)
+            self._limiter.mark_idle(self)
+
+    # Writing
 
     async def receive(self, message: ClientReply) -> None:
-        if (ends := message.request) is not None:
-            if (
-                self.open_requests.get(ends.seqid) is not ends
-            ):  # given up a moment ago; its number may be in use again
+        """Writes a reply, unless its request was withdrawn meanwhile."""
+        request = message.request
+        if request is not None:
+            if self.open_requests.get(request.seqid) is not request:  # its number may be in use again
                 self._unread.acknowledge(self, len(message.frame))
                 return
-            del self.open_requests[ends.seqid]
-        self._writing = True
+            del self.open_requests[request.seqid]
+        self._is_writing = True
         try:
             await asyncio.get_running_loop().sock_sendall(self._sock, message.frame)
             self._unread.acknowledge(self, len(message.frame))
@@ -311,10 +229,12 @@
             self.end()
             raise
         finally:
-            self._writing = False
-            self._settle()
+            self._is_writing = False
+            self._update_limiter()
+
+    # Messages
 
-    def _handle(self, frame: bytes, at: int) -> None:
+    def _handle(self, frame: bytes, arrived_at: int) -> None:
         try:
             message = front.decode(frame)
         except front.MessageFormatError as error:
@@ -324,36 +244,59 @@
                 self.post(ClientReply(error.fault))
             return
         match message:
-            case front.HealthProbe(seqid):
-                self.post(ClientReply(front.encode_answer("probe", seqid, b"", self._good())))
-            case front.CancelRequest(seqid):
-                if command := self.open_requests.pop(seqid, None):
-                    self._abandon(command)
+            case front.HealthProbe():
+                self._on_health_probe(message)
+            case front.CancelRequest():
+                self._on_cancel_request(message)
             case front.ProcessRequest():
-                self._on_process_request(message, at)
+                self._on_process_request(message, arrived_at)
+
+    def _on_health_probe(self, probe: front.HealthProbe) -> None:
+        self.post(ClientReply(front.encode_answer("probe", probe.seqid, b"", self._is_healthy())))
+
+    def _on_cancel_request(self, cancel: front.CancelRequest) -> None:
+        request = self.open_requests.pop(cancel.seqid, None)
+        if request is not None:
+            self._abandon(request)
 
-    def _on_process_request(self, message: front.ProcessRequest, at: int) -> None:
+    def _on_process_request(self, message: front.ProcessRequest, arrived_at: int) -> None:
+        """Reports the request, or replies with a fault. Raises FrameError where its number is in use."""
         if message.seqid in self.open_requests:
             raise front.FrameError(f"sequence number {message.seqid} used again while open")
         try:
-            if len(self.open_requests) >= front.MAX_OPEN_REQUEST_COUNT:
-                raise front.RequestFormatError("too many open")
-            fields = front.parse_request_fields(message.fields, self._deployment)
-            statement = message.body.decode()
-            group = table_group(statement)
-            if group is None:
-                raise front.RequestFormatError("the statement names no group of tables")
+            request = self._read_request(message, arrived_at)
         except (front.RequestFormatError, UnicodeDecodeError) as error:
             self.supervisor.counters.add("commands unusable")
             self.supervisor.log.write("client", f"unusable command: {error}")
             kind = TApplicationException.PROTOCOL_ERROR
             self.post(ClientReply(front.encode_fault("process", message.seqid, kind, str(error))))
             return
-        tenant = (
-            self._tenant_of(message.fields, fields.idempotency_key, statement) if self._tenant_of else None
-        )
-        sent_at = min(at, self._clock.earliest_arrival())
-        ends_by = sent_at + fields.time_left
-        command = ReceivedRequest(self, message.seqid, fields, group, message.body, ends_by, sent_at, tenant)
-        self.open_requests[message.seqid] = command
-        self._report(command)
+        self.open_requests[message.seqid] = request
+        self._report(request)
+
+    def _read_request(self, message: front.ProcessRequest, arrived_at: int) -> ReceivedRequest:
+        """Raises RequestFormatError or UnicodeDecodeError."""
+        if len(self.open_requests) >= front.MAX_OPEN_REQUEST_COUNT:
+            raise front.RequestFormatError("too many open")
+        fields = front.parse_request_fields(message.fields, self._deployment)
+        statement = message.body.decode()
+        group = table_group(statement)
+        if group is None:
+            raise front.RequestFormatError("the statement names no group of tables")
+        tenant = None
+        if self._tenant_of is not None:
+            tenant = self._tenant_of(message.fields, fields.idempotency_key, statement)
+        sent_at = min(arrived_at, self._clock.earliest_arrival())
+        deadline = sent_at + fields.time_left
+        return ReceivedRequest(self, message.seqid, fields, group, message.body, deadline, sent_at, tenant)
+
+
+def _next_frame(buffer: Buffer) -> bytes | None:
+    """Takes off the next complete frame. Raises FrameError."""
+    data = buffer.data()
+    length = front.frame_length(data)
+    if length is None or len(buffer) < front.FRAME.size + length:
+        return None
+    frame = bytes(data[front.FRAME.size : front.FRAME.size + length])
+    buffer.use(front.FRAME.size + length)
+    return frame
--- a/lotusstream/net/gateway.py
+++ b/lotusstream/net/gateway.py
@@ -15,7 +15,8 @@
 
 from lotusstream import interface as api
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.client import ClientConnection, ClientConnectionLimiter, UnreadReplies
+from lotusstream.net.client import ClientConnection
+from lotusstream.net.client_limits import ClientConnectionLimiter, UnreadReplies
 from lotusstream.net.clock import LONG_TURN_US, LOOP_WATCH_INTERVAL_US, Clock
 from lotusstream.net.configuration import Configuration, ConfigurationError
 from lotusstream.net.connection import US, Address, SocketBudget
@@ -58,7 +59,7 @@
         self._parts = self._parts_of(operator)
         taken = self._parts.descriptors if self._parts else 0
         self._budget = SocketBudget(most - most_clients - self._spare - OWN_DESCRIPTOR_COUNT - taken)
-        self._share = ClientConnectionLimiter(
+        self._client_limiter = ClientConnectionLimiter(
             most_clients, max(1, self._spare - 1), self._clock, self.supervisor
         )
         self._unread = UnreadReplies(memory // 8)
@@ -145,7 +146,7 @@
             self._list.post(FollowDiscovery(new.discovery_address))
 
     def _good(self) -> bool:
-        return self._decider.has_endpoint_list and not self._share.stopping
+        return self._decider.has_endpoint_list and not self._client_limiter.stopping
 
     def _resume_accept(self, listener: socket.socket) -> None:
         if listener.fileno() >= 0:
@@ -181,11 +182,11 @@
             self._decider.post,
             self._good,
             self._unread,
-            self._share,
+            self._client_limiter,
             self.supervisor,
             self._tenants,
         )
-        if self._share.admit(client):
+        if self._client_limiter.admit(client):
             self.supervisor.start("client", client.serve())
         else:
             sock.close()
@@ -210,11 +211,11 @@
                 looked_at = now
                 self.supervisor.counters.peak("connections to engines", self._budget.used)
                 self._decider.evaluate()
-                self._share.evaluate()
+                self._client_limiter.evaluate()
 
     async def drain(self) -> None:
         """A planned stop: takes what still comes, and returns once all is read and answered or time is up."""
-        self._share.stopping = True
+        self._client_limiter.stopping = True
         if self._parts is not None:
             self._parts.leave()
         began = self._clock.now()
@@ -222,7 +223,7 @@
         by = began + min(longest, MAX_CLIENT_WAIT_US) + ARRIVAL_GRACE_US
         self._decider.post(api.ShutdownStarted(by))
         while (now := self._clock.now()) < by:
-            owed = self._unread.total or self._share.has_open_work() or self._knocks()
+            owed = self._unread.total or self._client_limiter.has_open_work() or self._knocks()
             if now >= began + MIN_DRAIN_US and not owed:
                 break
             await asyncio.sleep(DRAIN_POLL_S)
@@ -246,10 +247,10 @@
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
-        self._share.close_all()
+        self._client_limiter.close_all()
         by = self._clock.now() + front.CLOSE_RACE_US
         while (
-            self._share.half_closed_count and self._clock.now() < by
+            self._client_limiter.half_closed_count and self._clock.now() < by
         ):  # until the clients have read all and closed
             await asyncio.sleep(DRAIN_POLL_S)
         if self._parts is not None:
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -35,14 +35,8 @@
 from lotusstream.deployment import read_settings
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.attempt_messages import AbortAttempt, RunAttempt
-from lotusstream.net.client import (
-    ClientConnection,
-    ClientConnectionLimiter,
-    ClientReply,
-    ReceivedRequest,
-    RequestAbandoned,
-    UnreadReplies,
-)
+from lotusstream.net.client import ClientConnection, ClientReply, ReceivedRequest, RequestAbandoned
+from lotusstream.net.client_limits import ClientConnectionLimiter, UnreadReplies
 from lotusstream.net.clock import Clock
 from lotusstream.net.configuration import Configuration, read_configuration
 from lotusstream.net.connection import Connection, ConnectionPool, SocketBudget
@@ -368,7 +362,7 @@
     assert first.seqid == second.seqid == 1
     client.post(ClientReply(front.encode_answer("process", 1, b"first\t\t\n", True), first))
     client.post(ClientReply(front.encode_answer("process", 1, b"second\t\t\n", True), second))
-    await until(lambda: not client.open_requests and not client._writing)
+    await until(lambda: not client.open_requests and not client._is_writing)
     assert client.half_close()
     assert b"second" in (came := read_all(theirs)) and b"first" not in came
 
@@ -379,7 +373,7 @@
     stand_in.ask()
     command = await desk.taken(1)
     client.post(ClientReply(front.encode_answer("process", 1, b"1\t2\t3\n", True), command))
-    await until(lambda: not client.open_requests and not client._writing)
+    await until(lambda: not client.open_requests and not client._is_writing)
     assert client.half_close()
     stand_in.ask()  # before the client has seen the close, or read its answer
     await until(lambda: serving.done() or not client.has_unread_bytes())
@@ -445,7 +439,7 @@
         theirs.sendall(b"\0\0")
         assert server._listener is not None
         server._accept(server._listener)  # and no turn of the loop after it
-        assert server._share.has_open_work()
+        assert server._client_limiter.has_open_work()
     await server.stop()
 
 
@@ -454,7 +448,7 @@
     await server.start()
     with socket.create_connection(server.address, LIMIT) as theirs:
         theirs.sendall(front.encode_health_probe(1))
-        await until(lambda: server._share._idle)
+        await until(lambda: server._client_limiter._idle)
         theirs.sendall(b"\0\1\0\0" + bytes(1 << 16))  # more than one read: the end comes before the rest
         stopping = asyncio.create_task(server.stop())
         answer = await asyncio.to_thread(read_all, theirs)  # a reset would raise
--- a/tests/net/test_time_waited.py
+++ b/tests/net/test_time_waited.py
@@ -55,7 +55,7 @@
         with socket.socket() as client:
             if resting:
                 client.connect(server.address)
-                await until(lambda: server._share._silent)
+                await until(lambda: server._client_limiter._silent)
                 await asyncio.sleep(0.03)
             else:
                 client.connect(server.address)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,14 +21,8 @@
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.attempt_messages import AbortAttempt, AttemptFinished, ChangePriority, RunAttempt
 from lotusstream.net.buffer import Buffer, BufferFullError
-from lotusstream.net.client import (
-    ClientConnection,
-    ClientConnectionLimiter,
-    ClientReply,
-    ReceivedRequest,
-    RequestAbandoned,
-    UnreadReplies,
-)
+from lotusstream.net.client import ClientConnection, ClientReply, ReceivedRequest, RequestAbandoned
+from lotusstream.net.client_limits import ClientConnectionLimiter, UnreadReplies
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import Connection, ConnectionPool, NoDescriptorError, SocketBudget
 from lotusstream.net.decider import Decider
@@ -167,7 +161,7 @@
     assert share.admit(client)
     serving = asyncio.create_task(client.serve())
     theirs.sendall(front.encode_health_probe(1))
-    while not share._idle or client._writing or len(client.mailbox):
+    while not share._idle or client._is_writing or len(client.mailbox):
         await asyncio.sleep(0)
     stand_in = StandInClient()
     stand_in.raw = lambda frame: theirs.sendall(front.FRAME.pack(len(frame)) + frame)  # type: ignore[method-assign]
