--- a/lotusstream/interface/events.py
+++ b/lotusstream/interface/events.py
@@ -135,8 +135,8 @@
 class CellEndpointsChanged:
     """From now on requests of this cell may run on these endpoints only, at every attempt.
 
-    The cells of one pool are judged together (overload, latency, limits), those of others apart. An endpoint
-    belongs to one pool: that of the latest event that names it.
+    The cells of one pool share limits and statistics of latency and overload; pools share nothing. An
+    endpoint belongs to one pool: that of the latest event that names it.
     """
 
     cell: int
--- a/lotusstream/policy/admission.py
+++ b/lotusstream/policy/admission.py
@@ -51,7 +51,7 @@
         self._shutdown_deadline = NO_SHUTDOWN
 
     def on_request_received(self, event: api.RequestReceived) -> None:
-        """Takes a request, counts it, and rejects it if it can't or must not be run."""
+        """Takes a request, counts it, and rejects it if it cannot or must not be run."""
         request = self._new_request(event)
         self._open_requests.add(request)
         self._retries.on_request_received()
--- a/lotusstream/policy/affinity.py
+++ b/lotusstream/policy/affinity.py
@@ -1,7 +1,7 @@
 """Which endpoints cache which table groups, agreed among gateways by hashing and without a message.
 
 Each endpoint caches as many groups as it has room for: those with the least weighted draw, where a group's
-weight is its part of the requests seen. That follows the traffic, so it is computed anew periodically, a few
+weight is its part of the requests seen. That follows the traffic, so it is computed again periodically, a few
 endpoints at a time. Source of the draw: weighted rendezvous hashing.
 """
 
@@ -58,7 +58,7 @@
         return is_power_of_two
 
     def traffic_ratio(self, group: int, endpoints: int) -> float:
-        """Returns the group's part of the requests, 0 to 1; drawn to 0 where few were seen, by a weight of
+        """Returns the group's part of the requests, 0 to 1; reduced where few were seen, by a weight of
         `endpoints` requests."""
         count = self._counts[group] + self._earlier_counts[group]
         return count / (self._total + self._earlier_total + endpoints)
@@ -81,7 +81,7 @@
         return list(self._endpoints_by_group.get(group, ()))
 
     def refresh(self) -> None:
-        """Computes anew what some of the endpoints cache; a few calls reach all of them."""
+        """Computes again what some of the endpoints cache; a few calls reach all of them."""
         if not self._pending:
             return
         counts = self._counts + self._earlier_counts
--- a/lotusstream/policy/affinity_sets.py
+++ b/lotusstream/policy/affinity_sets.py
@@ -78,7 +78,7 @@
             self.rebalance()
 
     def rebalance(self) -> None:
-        """Weighs endpoints anew: their list, their cells or the traffic have changed."""
+        """Recomputes weights after a change of the list, of the cells or of the traffic."""
         self._spare_capacity.recompute()
         self._sets.clear()
 
--- a/lotusstream/policy/catalog.py
+++ b/lotusstream/policy/catalog.py
@@ -19,7 +19,7 @@
 
 MIN_PREFERRED_ENDPOINTS = 96  # a domain no larger than this is preferred as a whole
 PREFERRED_EVEN_SHARES = 3.0  # preferred endpoints, as a multiple of this gateway's even share of a domain
-REBUILD_DIVISOR = 8  # a domain is sorted anew where more than one in so many of its endpoints change
+REBUILD_DIVISOR = 8  # a domain is rebuilt where more than one in so many of its endpoints change
 UNLISTED_RANK = 2.0  # behind all listed endpoints
 
 
@@ -143,7 +143,7 @@
         return indexed.domain
 
     def forget_domains(self) -> None:
-        """Drops all domains, since what they admit has changed; they are made anew when next asked for."""
+        """Drops all domains, since what they admit has changed; they are rebuilt when next asked for."""
         self._domains.clear()
 
     def apply(self, entries: Iterable[api.EndpointEntry], *, complete: bool) -> list[EntryChange]:
@@ -206,7 +206,7 @@
         if not self._endpoints_by_class[endpoint_class]:
             del self._endpoints_by_class[endpoint_class]
             del self.cores_by_class[endpoint_class]
-            self.ready_cores = float(sum(self.cores_by_class.values()))  # rounding errors don't add up
+            self.ready_cores = float(sum(self.cores_by_class.values()))  # rounding errors do not add up
 
     def _fill(self, indexed: _IndexedDomain) -> None:
         ready = api.EndpointStatus.READY
--- a/lotusstream/policy/context.py
+++ b/lotusstream/policy/context.py
@@ -34,14 +34,14 @@
 
 
 class DecisionContext:
-    """The state that every part reads; `now` and `actions` are set anew for each event.
+    """The state that every part reads; `now` and `actions` are replaced at each event.
 
     Times are microseconds of the caller's clock.
     """
 
     def __init__(self, started: api.GatewayStarted) -> None:
         self.now = 0
-        self.actions: list[api.Action] = []  # of the event in hand, in order
+        self.actions: list[api.Action] = []  # of the present event, in order
         self.settings = started
         self.rule_limits = started.rule_limits
         self.capabilities = started.capabilities
--- a/lotusstream/policy/degradation.py
+++ b/lotusstream/policy/degradation.py
@@ -28,7 +28,7 @@
         return request.random_value < self._level.admitted_ratios[request.profile_index] * RANDOM_VALUES
 
     def allows_retry(self, request: Request) -> bool:
-        """Returns whether the level allows another attempt of a request; the first is always allowed."""
+        """Returns whether the level allows another attempt of a request that has had one."""
         if self._level is None:
             return True
         match self._level.retries_allowed:
--- a/lotusstream/policy/dispatch.py
+++ b/lotusstream/policy/dispatch.py
@@ -1,4 +1,8 @@
-"""Dispatch: which waiting request is sent next, and its attempt."""
+"""Dispatch: which waiting request is sent next, and its attempt.
+
+Source: Shortest Makespan First (SMF), Towards Optimal Transaction Scheduling: of a few sampled requests the
+one that adds the least stall goes next.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +45,7 @@
 
 
 class Dispatcher:
-    """Sends waiting requests, as shortest makespan first with sampling (SMF) orders them."""
+    """Sends waiting requests, in the order of SMF over their soft deadlines."""
 
     def __init__(
         self,
--- a/lotusstream/policy/domains.py
+++ b/lotusstream/policy/domains.py
@@ -9,7 +9,11 @@
 
 
 class Domains:
-    """The domains of the catalog's endpoints; they change with the list and with the cells."""
+    """The domains of the catalog's endpoints; they change with the list and with the cells.
+
+    The rule: a request never runs outside its profile's zones and kinds, nor outside its cell, at any
+    attempt, even when all endpoints there are down. Inputs: the profile, the cell's endpoints, the list.
+    """
 
     def __init__(self, catalog: Catalog, pools: Pools) -> None:
         self._catalog = catalog
--- a/lotusstream/policy/endpoint_evaluation.py
+++ b/lotusstream/policy/endpoint_evaluation.py
@@ -21,6 +21,6 @@
         self._limits.adapt_endpoint(endpoint)
 
     def refresh(self, endpoint: Endpoint) -> None:
-        """Evaluates an endpoint and computes its limit anew."""
+        """Evaluates an endpoint and computes its limit."""
         self.evaluate(endpoint)
         self._limits.compute(endpoint)
--- a/lotusstream/policy/endpoint_list.py
+++ b/lotusstream/policy/endpoint_list.py
@@ -61,5 +61,5 @@
         """Assigns endpoints to a cell."""
         self._pools.assign(event)
         self._catalog.forget_domains()
-        self._states.count_pools_anew()
+        self._states.recount_pools()
         self._affinity_sets.rebalance()
--- a/lotusstream/policy/endpoint_states.py
+++ b/lotusstream/policy/endpoint_states.py
@@ -34,7 +34,7 @@
         self._warm_by_group: dict[int, dict[api.EndpointId, None]] = {}  # endpoints that ran it lately
 
     def get(self, endpoint_id: api.EndpointId) -> Endpoint:
-        """Returns the state of a listed endpoint; made anew, and not retained, where nothing is known."""
+        """Returns the state of a listed endpoint; where nothing is known, a new one that is not retained."""
         return self.retained.get(endpoint_id) or self._new_state(self._catalog.entries[endpoint_id])
 
     def is_retained(self, endpoint: Endpoint) -> bool:
@@ -113,7 +113,7 @@
             self.drop_if_removed(endpoint)
 
     def _replace_restarted(self, endpoint: Endpoint, entry: api.EndpointEntry) -> Endpoint:
-        """Attempts that ran before the restart still owe their outcomes, so they stay with the new state."""
+        """Attempts from before the restart have no outcome yet, so they stay with the new state."""
         pool = self._pools.of_endpoint(entry.id)
         restarted = self._new_state(entry)
         self.retained[entry.id] = restarted
@@ -127,7 +127,7 @@
         return restarted
 
     def drop_if_removed(self, endpoint: Endpoint) -> None:
-        """Drops the state of a removed endpoint, unless attempts there still owe their outcomes.
+        """Drops the state of a removed endpoint, unless attempts there have no outcome yet.
 
         Guards the order of a key: its next request waits for those outcomes.
         """
@@ -141,8 +141,8 @@
         for group in endpoint.warm_groups:
             self._set_cold(endpoint, group)
 
-    def count_pools_anew(self) -> None:
-        """Moves every endpoint into its pool and counts the pools' sums, after the cells have changed."""
+    def recount_pools(self) -> None:
+        """Moves every endpoint into its pool and counts the pools' sums again, after a change of cells."""
         for pool in self._pools.by_name.values():
             pool.cores = 0.0
             pool.threads = 0
--- a/lotusstream/policy/gateway.py
+++ b/lotusstream/policy/gateway.py
@@ -3,6 +3,17 @@
 A caller makes one Gateway and passes it every event, in order, with the time; `handle` returns the actions to
 carry out, in order. The first event is GatewayStarted. BatchEnded follows the last event of a moment, and
 waiting requests are sent then. Events and actions: lotusstream/interface/.
+
+The seven rules that no decision may break, and the module that keeps each:
+
+1. No request is lost: each gets one answer before its deadline, and no attempt after it (admission,
+   evaluation, attempt_results).
+2. No effect happens twice (retries).
+3. Nothing is sent to an endpoint that drains or is removed (endpoint_list).
+4. No endpoint in slow start is overloaded by all gateways together (slow_start).
+5. Requests with one key run in order, one at a time (key_ordering).
+6. A restricted request runs in its zones, kinds and cell only (domains).
+7. Retries stay within a budget (retries).
 """
 
 from __future__ import annotations
--- a/lotusstream/policy/limits.py
+++ b/lotusstream/policy/limits.py
@@ -138,7 +138,7 @@
     """Returns whether an attempt with so many threads may be added to an endpoint.
 
     An endpoint that is not overloaded yet is limited too while others are: guards against all that those
-    can't take being sent to it at once.
+    cannot take being sent to it at once.
     """
     pool = endpoint.pool
     limit = endpoint.concurrency_limit
--- a/lotusstream/policy/placement.py
+++ b/lotusstream/policy/placement.py
@@ -1,7 +1,8 @@
 """Placement: the endpoint at which a request's next attempt starts.
 
-Shortest makespan first (SMF): the attempt goes where it adds the least stall, its own or that of others. Of
-endpoints that add the same the least crowded, fastest and warmest one is taken, and a draw decides the rest.
+The attempt goes where it adds the least stall, its own or that of others. Of endpoints that add the same the
+least crowded, fastest and warmest one is taken, and a draw decides the rest. Source: Shortest Makespan First
+(SMF), Towards Optimal Transaction Scheduling.
 """
 
 from __future__ import annotations
--- a/lotusstream/policy/pools.py
+++ b/lotusstream/policy/pools.py
@@ -1,6 +1,6 @@
-"""Pools of endpoints that are judged together, and the cells of which they consist.
+"""Pools of endpoints that share limits and latency statistics, and the cells of which they consist.
 
-Guards the tenants of one cell against what those of another do to their endpoints.
+Guards the tenants of one cell against overload that those of another cause.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         return Pool(self.latency_span, estimates, MAX_LIMIT_FACTOR)
 
     def assign(self, event: api.CellEndpointsChanged) -> None:
-        """Assigns endpoints to a cell, and the cell to a pool. The pools' sums are to be counted anew."""
+        """Assigns endpoints to a cell, and the cell to a pool; the caller recounts the pools' sums."""
         if event.endpoint_ids:
             self._cells[event.cell] = event
         else:
@@ -51,7 +51,7 @@
         return self.by_name[self._name_by_endpoint.get(endpoint_id)]
 
     def of_cell(self, cell: int | None) -> Pool:
-        """Returns the pool that a cell's requests are judged with."""
+        """Returns the pool of the endpoints that a cell's requests may run at."""
         assigned = self._cells.get(cell) if cell is not None else None
         return self.by_name[assigned.pool if assigned else None]
 
--- a/lotusstream/policy/slow_start.py
+++ b/lotusstream/policy/slow_start.py
@@ -8,12 +8,13 @@
 from lotusstream.policy.catalog import EntryChange
 from lotusstream.policy.context import WINDOW_BUCKET_COUNT, DecisionContext
 from lotusstream.policy.state import Endpoint
-from lotusstream.rendezvous import unit_hash
+from lotusstream.rendezvous import MASK_32_BITS, unit_hash
 from lotusstream.sliding_window import SlidingWindow
 
 CAPACITY_MARGIN_RATIO = 0.6  # of the listed cores: busy share of the cores, slow machines, chance
-ADMITTING_WINDOW_RATIO = 0.75  # part of a window that admits: if all gateways turn to an endpoint in one
-# moment, they stay within 0.6 * 1.75 of the budget
+# part of a window that admits: if all gateways turn to an endpoint in one moment, what they send stays within
+# 0.6 * 1.75 of the budget
+ADMITTING_WINDOW_RATIO = 0.75
 MAX_REPORTED_AGE_US = 60_000_000  # that a start may have when the list first reports it
 
 
@@ -50,7 +51,7 @@
         """Begins slow start as of the start that the list reports, if it reports one."""
         entry = endpoint.entry
         if entry.started_at:
-            phase = unit_hash(entry.id, self._context.random.seed ^ entry.started_at & 0xFFFFFFFF)
+            phase = unit_hash(entry.id, self._context.random.seed ^ entry.started_at & MASK_32_BITS)
             endpoint.begin_slow_start(self._corrected_starts.get(entry.id, entry.started_at), phase)
 
     def ends_at(self, endpoint: Endpoint) -> int | None:
@@ -71,11 +72,11 @@
     def admits(self, endpoint: Endpoint, work: float) -> bool:
         """Returns whether an endpoint may be sent so much work now; always where it is not in slow start.
 
-        Guards a just started endpoint against the sum of all gateways, also where all turn to it in one
-        moment, or have just restarted and don't know what they sent. Where this gateway's part in a window is
-        less than the request, it draws for each window whether it may send one; windows begin at another
-        time for each gateway, and the sum keeps to the budget on average. Nothing is saved up, and what was
-        drawn holds for a part of the window: one moment takes no more than that part beside a full window.
+        Guards an endpoint that has just started against the sum of all gateways, also where all turn to it at
+        one time, or have just restarted and do not know what they sent. Where this gateway's part of a window
+        is less than the request, it draws for each window whether it may send one. Windows begin at another
+        time for each gateway, and the sum keeps to the budget on average. Nothing is saved up, and a draw
+        holds for a part of its window: what is sent at one time adds no more than that part to a window.
         """
         if not self.is_active(endpoint):
             return True
@@ -93,12 +94,15 @@
         return elapsed < ADMITTING_WINDOW_RATIO * window and draw * work <= remaining
 
     def _work_budget(self, endpoint: Endpoint) -> float:
-        """Returns this gateway's part of the work, in thread microseconds, that a window allows."""
+        """Returns this gateway's part of the work, in thread microseconds, that a window allows.
+
+        The rules do not state how capacity rises; it is taken to rise slower than linearly.
+        """
         limits = self._context.rule_limits
         elapsed = max(0, self._context.now - (endpoint.slow_start_since or 0))
         age = min(1.0, elapsed / max(1, limits.slow_start_duration))
         initial = limits.slow_start_initial_ratio
-        capacity = initial + (1 - initial) * age * age  # the rules don't state the curve: slower than linear
+        capacity = initial + (1 - initial) * age * age
         return (
             limits.overload_multiple
             * capacity
--- a/lotusstream/policy/state.py
+++ b/lotusstream/policy/state.py
@@ -57,7 +57,7 @@
     soft_deadline: int
     deadline: int
     random_value: int  # 32 bits, drawn once: breaks ties and decides on partial admission
-    pool: Pool  # the endpoints that it is judged with
+    pool: Pool  # of the endpoints that it may run at
     cell: int | None = None  # it may run in this cell only; None: anywhere
     attempts: list[Attempt] = field(default_factory=list)
     runaway_count: int = 0  # attempts that were cancelled since they took far too long
@@ -105,7 +105,7 @@
 
 
 class Pool:
-    """Endpoints that are judged together: all of them, or those of some cells.
+    """Endpoints that share limits and latency statistics: all of them, or those of some cells.
 
     `active` holds the ready ones with attempts, and the overloaded ones. Only these are evaluated
     periodically; of the others nothing is known that is not known of the pool, so they count by their cores.
--- a/lotusstream/policy/traffic_share.py
+++ b/lotusstream/policy/traffic_share.py
@@ -12,7 +12,7 @@
 HEALTH_CHECK_REQUESTS = 10  # requests between two health checks
 WINDOW_OBJECTIVES = 4  # shortest objectives for which a health check counts
 EVEN_SHARE_WEIGHT = 10  # attempts in flight that an even share counts as
-MIN_EVEN_SHARE_RATIO = 2  # the share is taken for at least an even one divided by this
+MIN_EVEN_SHARE_DIVISOR = 2  # the share is taken for at least an even one divided by this
 
 
 class TrafficShare:
@@ -56,4 +56,4 @@
         own_total, all_total = self._in_flight.total(now)
         even = self._context.even_share
         estimate = (own_total + EVEN_SHARE_WEIGHT * even) / (all_total + EVEN_SHARE_WEIGHT)
-        self._context.share = max(even / MIN_EVEN_SHARE_RATIO, estimate)
+        self._context.share = max(even / MIN_EVEN_SHARE_DIVISOR, estimate)
