--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -24,7 +24,7 @@
 from lotusstream.lab.fleet.schedule import drawn, write
 from lotusstream.lab.virtual import Scene, play
 from lotusstream.lab.world import Broken
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.table import AcquireLease, encode_operation
 from lotusstream.net.actor import Supervisor
 from lotusstream.wal.log import Log
--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -12,7 +12,7 @@
 from lotusstream.lab.virtual import Scene, play
 from lotusstream.lab.world import Broken
 from lotusstream.leases import holder, table
-from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
+from lotusstream.leases.expiry import LeaseExpiryTracker, LeaseTiming
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
 from lotusstream.quorum.election import Election
--- a/lotusstream/copies/shard_controller.py
+++ b/lotusstream/copies/shard_controller.py
@@ -11,7 +11,7 @@
 
 from lotusstream.copies.messages import Assigned
 from lotusstream.copies.shards import SHARDS, Holder, Place, placed
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -20,7 +20,7 @@
 from lotusstream.copies.shard_controller import CopyTerms, ShardController
 from lotusstream.copies.shards import Holder, Place
 from lotusstream.lab.world import MS, Node, S, Span, World
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 
 FAILED = b"may have run"
 ONCE = "once"  # the end of keys whose commands may run once only
--- a/lotusstream/lab/fleet/lock_clients.py
+++ b/lotusstream/lab/fleet/lock_clients.py
@@ -6,7 +6,7 @@
 import uuid
 
 from lotusstream.leases import holder as hold
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.service import LEASE_FREED_NUMBER
 from lotusstream.net import clock
 from lotusstream.net.actor import Supervisor
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -13,7 +13,7 @@
 
 from lotusstream.lab.world import MS, Broken, Node, S, Span, World
 from lotusstream.leases import holder as hold
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.service import (
     LEASE_FREED_NUMBER,
     LeaseHolderChanged,
--- a/lotusstream/leases/holder.py
+++ b/lotusstream/leases/holder.py
@@ -1,4 +1,8 @@
-"""The side of a gateway that wants to act: asks, renews, and stops in time by its own clock. No I/O."""
+"""The side of a gateway that wants to act for the fleet: acquires leases, renews them, and stops in time.
+
+It measures the lease by its own clock from before it sent the request, so that it stops before the leader
+can grant the lease to another, whatever the delay of the answer. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,46 +10,51 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.table import AcquireLease, LeaseOperation, LeaseResult, ReleaseLease
 
+RENEWALS_PER_LEASE = 3  # a lease is renewed each third of its duration
+REPLY_TIMEOUTS_PER_LEASE = 8  # so many requests can fail one after the other before a lease is over
+MAX_RELEASE_ATTEMPT_COUNT = 8  # then the lease runs out by itself
+MAX_BACKOFF_DOUBLING_COUNT = 4
+
 # Events
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseWanted:
-    """To act for this task whenever nobody else does."""
+    """This gateway wants to act for the task whenever nobody else does."""
 
     task: str
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseUnwanted:
-    """Not any more; `heir` gets it next, if somebody is named."""
+    """This gateway does not want to act for the task any more."""
 
     task: str
-    successor: str = ""
+    successor: str = ""  # the only holder that gets the lease next; '' for whoever comes first
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReplyReceived:
-    """`ask`: the number of the Ask. `granted` is None where nothing is known; `leader`: whom to ask."""
+    """A node of the quorum has answered."""
 
-    number: int
-    result: LeaseResult | None
-    leader: str = ""
+    number: int  # of the SendLeaseOperation
+    result: LeaseResult | None  # None where it is not known what became of the operation
+    leader: str = ""  # the node to ask; '' where it is not known
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseFreed:
-    """A keeper says that nobody holds it now."""
+    """A node of the quorum reports that nobody holds the lease now."""
 
     task: str
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimeAdvanced:
-    pass
+    """Time has passed; due at `LeaseHolder.next_timer_at`."""
 
 
 LeaseHolderEvent = LeaseWanted | LeaseUnwanted | LeaseReplyReceived | LeaseFreed | LeaseTimeAdvanced
@@ -55,14 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SendLeaseOperation:
-    number: int
+    """Send an operation to a node of the quorum."""
+
+    number: int  # returned with the reply
     recipient: str
     operation: LeaseOperation
 
 
 @dataclass(frozen=True, slots=True)
 class StartTask:
-    """Acts from now on under this token."""
+    """Act for the task from now on, under this fencing token."""
 
     task: str
     token: int
@@ -70,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
-    """At once. Whoever acts has also to look at `may_act` before each act: this may come late."""
+    """Stop acting at once. This can come late: `LeaseHolder.may_act` is asked before each act too."""
 
     task: str
     token: int
@@ -82,163 +93,227 @@
 
 @dataclass(slots=True)
 class _TaskState:
+    """One task and its lease. Times in microseconds."""
+
+    name: str
     wanted: bool = False
-    token: int = 0
+    token: int = 0  # the fencing token while the lease is held, or 0
     act_until: int = 0
     next_send_at: int = 0
-    pending_number: int = 0  # out, or 0
-    sent_at: int = 0
-    release: ReleaseLease | None = None
-    failed_attempt_count: int = 0
+    pending_number: int = 0  # of the request without a reply yet, or 0
+    sent_at: int = 0  # when the newest request was sent
+    release: ReleaseLease | None = None  # sent until it is answered
+    failed_attempt_count: int = 0  # one after the other
+
+    def stop(self, reason: str) -> StopTask:
+        """The lease is not held any more."""
+        action = StopTask(self.name, self.token, reason)
+        self.token = 0
+        return action
 
 
 class LeaseHolder:
-    """One for a gateway, over all tasks that it may have."""
+    """All leases that one gateway wants or holds.
+
+    Invariant: it acts for a task only until `duration_us - safety_margin_us` after it sent the request that
+    was last granted. Counted from the answer instead, a slow answer would let two gateways act at once.
+    """
 
     def __init__(
-        self, name: str, session: str, keepers: Sequence[str], terms: LeaseTiming, seed: int
+        self, name: str, session: str, quorum_members: Sequence[str], timing: LeaseTiming, seed: int
     ) -> None:
-        self._name, self._session, self._keepers = name, session, tuple(keepers)
-        self._timing, self._seed, self._draws = terms, seed, 0
+        """Begins without a lease.
+
+        :param session: of this run of the program, never used before
+        :param quorum_members: the names of the nodes to ask
+        :param seed: of the delays between requests
+        """
+        self._name = name
+        self._session = session
+        self._quorum_members = tuple(quorum_members)
+        self._timing = timing
+        self._seed = seed
+        self._draw_count = 0
         self._tasks: dict[str, _TaskState] = {}
-        self._leader, self._turn, self._number = "", 0, 0
-        self._now, self._out = 0, list[LeaseHolderAction]()
+        self._leader = ""  # of the quorum, where it is known
+        self._next_member_index = 0  # whom to ask without a known leader
+        self._number = 0  # of the newest operation
+        self._now = 0
+        self._actions: list[LeaseHolderAction] = []
 
     def handle(self, now: int, event: LeaseHolderEvent) -> list[LeaseHolderAction]:
-        self._now, self._out = max(now, self._now), []
+        """Takes one event. `now`: microseconds. Returns what is to be done, in this order."""
+        self._now = max(now, self._now)
+        self._actions = []
         match event:
-            case LeaseWanted(task):
-                found = self._tasks.setdefault(task, _TaskState())
-                if not found.wanted:
-                    found.wanted, found.next_send_at = True, self._now
-            case LeaseUnwanted(task, heir):
-                self._unwant(task, heir)
+            case LeaseWanted(name):
+                self._on_wanted(name)
+            case LeaseUnwanted(name, successor):
+                self._on_unwanted(name, successor)
             case LeaseReplyReceived():
                 self._on_reply(event)
-            case LeaseFreed(task):
-                waiting = self._tasks.get(task)
-                if waiting is not None and not waiting.token:
-                    waiting.next_send_at = self._now
-        for name, each in self._tasks.items():
-            self._drive(name, each)
-        return self._out
+            case LeaseFreed(name):
+                self._on_freed(name)
+        for task in self._tasks.values():
+            self._pass_time(task)
+        return self._actions
 
     def may_act(self, now: int, task: str) -> int:
-        """The token to act under at this moment, or 0: to be asked before each act."""
-        found = self._tasks.get(task)
-        return found.token if found is not None and found.token and now < found.act_until else 0
+        """The fencing token to act under at this moment, or 0. To be asked before each act."""
+        state = self._tasks.get(task)
+        if state is None or now >= state.act_until:
+            return 0
+        return state.token
 
     @property
     def next_timer_at(self) -> int:
-        """When to say Tick next; a long time where nothing is wanted."""
+        """When the next LeaseTimeAdvanced is due, in microseconds; far off where nothing is wanted."""
         times = [self._now + self._timing.duration_us]
-        for each in self._tasks.values():
-            if each.token:
-                times.append(each.act_until)
-            if each.pending_number:
-                times.append(each.sent_at + self._patience)
-            elif each.wanted or each.release is not None:
-                times.append(each.next_send_at)
+        for task in self._tasks.values():
+            if task.token:
+                times.append(task.act_until)
+            if task.pending_number:
+                times.append(task.sent_at + self._reply_timeout_us)
+            elif task.wanted or task.release is not None:
+                times.append(task.next_send_at)
         return min(times)
 
     @property
-    def _patience(self) -> int:
-        """For an answer: several tries fit into a lease."""
-        return self._timing.duration_us // 8
-
-    def _draw(self, least: int, most: int) -> int:
-        self._draws += 1
-        lot = zlib.crc32(f"{self._seed}/{self._name}/{self._draws}".encode())
-        lot = zlib.crc32(lot.to_bytes(4, "big") + b"spread")
-        return least + (most - least) * lot // 2**32
-
-    def _unwant(self, task: str, heir: str) -> None:
-        found = self._tasks.get(task)
-        if found is None or not found.wanted:
+    def _reply_timeout_us(self) -> int:
+        return self._timing.duration_us // REPLY_TIMEOUTS_PER_LEASE
+
+    @property
+    def _renewal_interval_us(self) -> int:
+        return self._timing.duration_us // RENEWALS_PER_LEASE
+
+    def _draw_up_to(self, most: int) -> int:
+        """A number below `most`, drawn from the seed."""
+        self._draw_count += 1
+        drawn = zlib.crc32(f"{self._seed}/{self._name}/{self._draw_count}".encode())
+        drawn = zlib.crc32(drawn.to_bytes(4, "big") + b"spread")
+        return most * drawn // 2**32
+
+    # Events
+
+    def _on_wanted(self, name: str) -> None:
+        task = self._tasks.setdefault(name, _TaskState(name))
+        if not task.wanted:
+            task.wanted = True
+            task.next_send_at = self._now
+
+    def _on_unwanted(self, name: str, successor: str) -> None:
+        task = self._tasks.get(name)
+        if task is None or not task.wanted:
             return
-        found.wanted = False
-        if found.token:
-            token = found.token
-            self._stop(task, found, "not wanted any more")
-            self._number += 1
-            found.release = ReleaseLease(task, self._name, self._session, self._number, token, heir)
-            found.pending_number, found.next_send_at, found.failed_attempt_count = 0, self._now, 0
-
-    def _stop(self, task: str, found: _TaskState, why: str) -> None:
-        self._out.append(StopTask(task, found.token, why))
-        found.token = 0
-
-    def _on_reply(self, event: LeaseReplyReceived) -> None:
-        task = next((name for name, each in self._tasks.items() if each.pending_number == event.number), None)
-        if event.leader in self._keepers:
-            self._leader = event.leader
-        elif event.result is None:
-            self._leader = ""
-            self._turn += 1
-        if task is None or not event.number:
-            return  # of an ask that was given up: its time may be over
-        found = self._tasks[task]
-        found.pending_number, asked = 0, found.sent_at
-        granted, again = event.result, self._timing.duration_us // 3
-        if granted is None:
-            found.failed_attempt_count += 1
-            found.next_send_at = self._now + self._draw(
-                0, min(self._patience << min(found.failed_attempt_count, 4), again)
-            )
+        task.wanted = False
+        if not task.token:
             return
-        found.failed_attempt_count = 0
-        if found.release is not None:
-            found.release = None
-            found.next_send_at = self._now
-        elif not granted.done or granted.holder != self._name:
-            if found.token:
-                self._stop(task, found, granted.reason or "another holder has it")
-            # whoever is told that it is free asks at once; this is for those who are not
-            least = granted.remaining_us or again
-            found.next_send_at = (
-                self._now + least + self._draw(0, again // 4 if granted.remaining_us else again)
-            )
-        elif found.wanted:
-            found.act_until = asked + self._timing.duration_us - self._timing.safety_margin_us
-            if found.token and found.token != granted.token:
-                self._stop(task, found, "granted anew")
-            if not found.token and self._now < found.act_until:
-                found.token = granted.token
-                self._out.append(StartTask(task, granted.token))
-            found.next_send_at = asked + again
-
-    def _drive(self, name: str, each: _TaskState) -> None:
-        if each.token and self._now >= each.act_until:
-            self._stop(name, each, "its time is over and no renewal has come")
-        if each.pending_number and self._now >= each.sent_at + self._patience:
-            each.pending_number, each.failed_attempt_count = 0, each.failed_attempt_count + 1
-            self._leader, self._turn = "", self._turn + 1
-            each.next_send_at = self._now
-        if (
-            each.pending_number
-            or self._now < each.next_send_at
-            or not (each.wanted or each.release is not None)
-        ):
+        token = task.token
+        self._actions.append(task.stop("not wanted any more"))
+        self._number += 1
+        task.release = ReleaseLease(name, self._name, self._session, self._number, token, successor)
+        task.pending_number = 0
+        task.next_send_at = self._now
+        task.failed_attempt_count = 0
+
+    def _on_freed(self, name: str) -> None:
+        task = self._tasks.get(name)
+        if task is not None and not task.token:
+            task.next_send_at = self._now
+
+    def _on_reply(self, reply: LeaseReplyReceived) -> None:
+        self._learn_leader(reply)
+        pending = (task for task in self._tasks.values() if task.pending_number == reply.number)
+        task = next(pending, None)
+        if task is None or not reply.number:
+            return  # to a request that was given up: what it granted may be over
+        task.pending_number = 0
+        if reply.result is None:
+            self._retry_later(task)
             return
-        if each.release is not None and each.failed_attempt_count > 8:
-            each.release = None  # it runs out by itself
+        task.failed_attempt_count = 0
+        if task.release is not None:
+            task.release = None
+            task.next_send_at = self._now
+        elif not reply.result.done or reply.result.holder != self._name:
+            self._on_refused(task, reply.result)
+        elif task.wanted:
+            self._on_granted(task, reply.result)
+
+    def _learn_leader(self, reply: LeaseReplyReceived) -> None:
+        if reply.leader in self._quorum_members:
+            self._leader = reply.leader
+        elif reply.result is None:
+            self._ask_next_member()
+
+    def _ask_next_member(self) -> None:
+        self._leader = ""
+        self._next_member_index += 1
+
+    def _retry_later(self, task: _TaskState) -> None:
+        """Backs off: the time doubles with each failure, and is spread so that gateways don't ask at once."""
+        task.failed_attempt_count += 1
+        doubling_count = min(task.failed_attempt_count, MAX_BACKOFF_DOUBLING_COUNT)
+        longest = min(self._reply_timeout_us << doubling_count, self._renewal_interval_us)
+        task.next_send_at = self._now + self._draw_up_to(longest)
+
+    def _on_refused(self, task: _TaskState, result: LeaseResult) -> None:
+        if task.token:
+            self._actions.append(task.stop(result.reason or "another holder has it"))
+        # Whoever waits is notified when the lease is free; this time is for a notification that is lost.
+        interval = self._renewal_interval_us
+        shortest = result.remaining_us or interval
+        spread = interval // 4 if result.remaining_us else interval
+        task.next_send_at = self._now + shortest + self._draw_up_to(spread)
+
+    def _on_granted(self, task: _TaskState, result: LeaseResult) -> None:
+        task.act_until = task.sent_at + self._timing.duration_us - self._timing.safety_margin_us
+        if task.token and task.token != result.token:
+            self._actions.append(task.stop("granted anew"))
+        if not task.token and self._now < task.act_until:
+            task.token = result.token
+            self._actions.append(StartTask(task.name, result.token))
+        task.next_send_at = task.sent_at + self._renewal_interval_us
+
+    # Time
+
+    def _pass_time(self, task: _TaskState) -> None:
+        if task.token and self._now >= task.act_until:
+            self._actions.append(task.stop("its time is over and no renewal has come"))
+        if task.pending_number and self._now >= task.sent_at + self._reply_timeout_us:
+            task.pending_number = 0
+            task.failed_attempt_count += 1
+            task.next_send_at = self._now
+            self._ask_next_member()
+        if task.pending_number or self._now < task.next_send_at:
             return
+        if task.release is not None and task.failed_attempt_count > MAX_RELEASE_ATTEMPT_COUNT:
+            task.release = None
+        elif task.release is not None or task.wanted:
+            self._send_operation(task)
+
+    def _send_operation(self, task: _TaskState) -> None:
         self._number += 1
-        wish: LeaseOperation = each.release or AcquireLease(name, self._name, self._session, self._number)
-        each.pending_number, each.sent_at = self._number, self._now
-        keeper = self._leader or self._keepers[self._turn % len(self._keepers)]
-        self._out.append(SendLeaseOperation(self._number, keeper, wish))
+        acquire = AcquireLease(task.name, self._name, self._session, self._number)
+        task.pending_number = self._number
+        task.sent_at = self._now
+        member_index = self._next_member_index % len(self._quorum_members)
+        recipient = self._leader or self._quorum_members[member_index]
+        self._actions.append(SendLeaseOperation(self._number, recipient, task.release or acquire))
 
 
 class FencingTokenGuard:
-    """What is acted on remembers the newest token of each task, and takes nothing under an older one: the
-    only guard against a holder that was stopped between its look at the clock and its act."""
+    """Belongs to what is acted on: refuses acts under an older token than the newest that it has seen.
+
+    It is the only guard against a holder that was suspended between `may_act` and its act.
+    """
 
     def __init__(self) -> None:
-        self._newest: dict[str, int] = {}
+        self._newest_tokens: dict[str, int] = {}  # by task
 
     def admits(self, task: str, token: int) -> bool:
-        if token < self._newest.get(task, 0):
+        """Whether an act for this task under this token may be done."""
+        if token < self._newest_tokens.get(task, 0):
             return False
-        self._newest[task] = token
+        self._newest_tokens[task] = token
         return True
--- a/lotusstream/leases/service.py
+++ b/lotusstream/leases/service.py
@@ -1,34 +1,36 @@
-"""A keeper with the leases applied on it: takes what gateways ask, gives what they are told. No I/O."""
+"""The lease table on top of a Raft node: takes requests of gateways and returns replies. No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
 
-from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
+from lotusstream.leases.expiry import LeaseExpiryTracker, LeaseTiming
 from lotusstream.leases.table import AcquireLease, LeaseOperation, LeaseResult, LeaseTable, encode_operation
 from lotusstream.quorum import events as ev
 from lotusstream.quorum.messages import EntryKind
 from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.state import Role
 
-NO_TICKET = -1  # the ticket of what nobody waits for
-MAX_WAITERS_COUNT = 1024  # who is told that a task is free, at most; whoever is not asks again by itself
-LEASE_FREED_NUMBER = 0  # the number of a Reply that nobody asked for
+NO_TICKET = -1  # the ticket of a proposal that nobody waits for
+MAX_WAITERS_COUNT = 1024  # a task; those beyond are not notified when it is free, and ask again by themselves
+LEASE_FREED_NUMBER = 0  # the number of a LeaseServiceReply that nobody asked for
+
+# Events, beside those of the Raft node
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseOperationReceived:
-    """`caller`: opaque, handed back with the answer."""
+    """A gateway wants an operation carried out."""
 
-    caller: object
-    number: int
+    caller: object  # opaque, returned with the reply
+    number: int  # of the request, returned with the reply
     operation: LeaseOperation
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTableReadReceived:
-    """Wants the table as it is after all that was told before now."""
+    """Someone wants to read the table with everything committed before now."""
 
     caller: object
     number: int
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChangeReceived:
-    """A change of keepers by hand."""
+    """An operator adds a member to the quorum, or removes one."""
 
     caller: object
     number: int
@@ -44,23 +46,28 @@
     add: bool
 
 
+LeaseServiceEvent = ev.RaftEvent | LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived
+
+# Actions, beside those of the Raft node
+
+
 @dataclass(frozen=True, slots=True)
 class LeaseServiceReply:
-    """`granted` None: it is not known what became of it; `leader`: whom to ask; `why`: for people."""
+    """Answer a request, or notify a waiter that a lease is free."""
 
     caller: object
-    number: int
-    result: LeaseResult | None
-    leader: str
-    reason: str = ""
-    done: bool = False
+    number: int  # of the request, or LEASE_FREED_NUMBER
+    result: LeaseResult | None  # None where it is not known what became of the operation, or for a read
+    leader: str  # the node to ask; '' where it is not known
+    reason: str = ""  # for people: why there is no result
+    done: bool = False  # the request was carried out by the quorum
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseHolderChanged:
-    """For the log: a lease has another holder, or none."""
+    """Log that a lease has another holder, or none."""
 
-    index: int
+    index: int  # of the log entry
     result: LeaseResult
 
 
@@ -74,106 +81,133 @@
 )
 
 
+@dataclass(frozen=True, slots=True)
+class _PendingRequest:
+    caller: object
+    number: int
+
+
 class LeaseService:
-    def __init__(self, keeper: RaftNode, terms: LeaseTiming) -> None:
-        self.node, self.table = keeper, LeaseTable()
-        self._expiry_tracker = LeaseExpiryTracker(terms)
-        self._tickets: dict[int, tuple[object, int]] = {}
-        self._ticket = 0
-        self._waiters: dict[str, list[object]] = {}
+    """One Raft node with the lease table that is applied on it."""
+
+    def __init__(self, node: RaftNode, timing: LeaseTiming) -> None:
+        self.node = node
+        self.table = LeaseTable()
+        self._expiry_tracker = LeaseExpiryTracker(timing)
+        self._pending: dict[int, _PendingRequest] = {}  # by ticket
+        self._last_ticket = 0
+        self._waiters: dict[str, list[object]] = {}  # by task: callers to notify when it is free
 
     @property
     def next_timer_at(self) -> int:
+        """When the next RaftTimeAdvanced is due, in microseconds."""
         return self.node.next_timer_at
 
-    def handle(
-        self,
-        now: int,
-        event: ev.RaftEvent | LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived,
-    ) -> list[LeaseServiceAction]:
-        out: list[LeaseServiceAction] = []
+    def handle(self, now: int, event: LeaseServiceEvent) -> list[LeaseServiceAction]:
+        """Takes one event. `now`: microseconds. Returns what is to be done, in this order."""
+        if isinstance(event, LeaseOperationReceived):
+            reply = self._refuse_held_lease(now, event)
+            if reply is not None:
+                return [reply]
+        actions: list[LeaseServiceAction] = []
+        raft_actions = deque(self.node.handle(now, self._raft_event(event)))
+        while True:
+            while raft_actions:
+                raft_actions += self._carry_out(now, raft_actions.popleft(), actions)
+            raft_actions += self._propose_expired(now)
+            if not raft_actions:
+                return actions
+
+    def pending_requests(self) -> list[tuple[object, int]]:
+        """Callers and numbers of the requests without a reply yet."""
+        return [(request.caller, request.number) for request in self._pending.values()]
+
+    def _raft_event(self, event: LeaseServiceEvent) -> ev.RaftEvent:
         match event:
-            case LeaseOperationReceived(caller, number, wish):
-                if (reply := self._at_once(now, event)) is not None:
-                    return [reply]
-                found: ev.RaftEvent = ev.ProposalSubmitted(self._take(caller, number), encode_operation(wish))
+            case LeaseOperationReceived(caller, number, operation):
+                return ev.ProposalSubmitted(self._new_ticket(caller, number), encode_operation(operation))
             case LeaseTableReadReceived(caller, number):
-                found = ev.ReadSubmitted(self._take(caller, number))
+                return ev.ReadSubmitted(self._new_ticket(caller, number))
             case MembershipChangeReceived(caller, number, name, add):
-                found = ev.MembershipChangeSubmitted(self._take(caller, number), name, add)
+                return ev.MembershipChangeSubmitted(self._new_ticket(caller, number), name, add)
             case _:
-                found = event
-        todo = deque(self.node.handle(now, found))
-        while True:
-            while todo:
-                todo += self._act(now, todo.popleft(), out)
-            due = []
-            if self.node.role == Role.LEADER:
-                due = self._expiry_tracker.expired_leases(now, self.node.term, self.table)
-            for expire in due:
-                todo += self.node.handle(now, ev.ProposalSubmitted(NO_TICKET, encode_operation(expire)))
-            if not todo:
-                return out
+                return event
 
-    def pending_requests(self) -> list[tuple[object, int]]:
-        """Callers and numbers that have no answer yet."""
-        return list(self._tickets.values())
+    def _new_ticket(self, caller: object, number: int) -> int:
+        self._last_ticket += 1
+        self._pending[self._last_ticket] = _PendingRequest(caller, number)
+        return self._last_ticket
 
-    def _take(self, caller: object, number: int) -> int:
-        self._ticket += 1
-        self._tickets[self._ticket] = (caller, number)
-        return self._ticket
+    def _refuse_held_lease(self, now: int, event: LeaseOperationReceived) -> LeaseServiceReply | None:
+        """The refusal of an AcquireLease for a lease that another holds, and the caller becomes a waiter.
 
-    def _at_once(self, now: int, asked: LeaseOperationReceived) -> LeaseServiceReply | None:
-        """'Held' needs no entry in the log: at worst it is late news, and the wish comes again."""
-        if self.node.role != Role.LEADER or not isinstance(asked.operation, AcquireLease):
+        It needs no log entry: at worst it is outdated, and the holder asks again.
+        """
+        operation = event.operation
+        if self.node.role != Role.LEADER or not isinstance(operation, AcquireLease):
             return None
-        lease = self.table.leases.get(asked.operation.task)
-        if lease is None or not lease.token or lease.holder == asked.operation.holder:
+        lease = self.table.leases.get(operation.task)
+        if lease is None or not lease.token or lease.holder == operation.holder:
             return None
-        left = self._expiry_tracker.remaining_us(now, lease.task)
-        granted = LeaseResult(False, lease.task, lease.holder, lease.token, "held", remaining_us=left)
+        remaining_us = self._expiry_tracker.remaining_us(now, lease.task)
+        result = LeaseResult(False, lease.task, lease.holder, lease.token, "held", remaining_us=remaining_us)
         waiters = self._waiters.setdefault(lease.task, [])
-        if asked.caller not in waiters:
-            waiters.append(asked.caller)
+        if event.caller not in waiters:
+            waiters.append(event.caller)
             del waiters[:-MAX_WAITERS_COUNT]
-        return LeaseServiceReply(asked.caller, asked.number, granted, self.node.name)
-
-    def _act(self, now: int, action: ev.RaftAction, out: list[LeaseServiceAction]) -> list[ev.RaftAction]:
+        return LeaseServiceReply(event.caller, event.number, result, self.node.name)
+
+    def _propose_expired(self, now: int) -> list[ev.RaftAction]:
+        """Proposes the end of each lease that has run out, if this node leads."""
+        if self.node.role != Role.LEADER:
+            return []
+        actions = []
+        for operation in self._expiry_tracker.expired_leases(now, self.node.term, self.table):
+            event = ev.ProposalSubmitted(NO_TICKET, encode_operation(operation))
+            actions += self.node.handle(now, event)
+        return actions
+
+    def _carry_out(
+        self, now: int, action: ev.RaftAction, actions: list[LeaseServiceAction]
+    ) -> list[ev.RaftAction]:
+        """Carries out what concerns the table, passes on the rest. Returns further actions of the node."""
         match action:
-            case ev.ApplyEntry(index, kind, data, ticket):
-                if kind == EntryKind.COMMAND:
-                    before = {name: each.token for name, each in self.table.leases.items()}
-                    granted = self.table.apply(data)
-                    if before.get(granted.task, 0) != granted.token:
-                        out.append(LeaseHolderChanged(index, granted))
-                    if not granted.token:
-                        for caller in self._waiters.pop(granted.task, ()):
-                            out.append(LeaseServiceReply(caller, LEASE_FREED_NUMBER, granted, self.node.name))
-                    self._reply(ticket, out, granted, done=True)
+            case ev.ApplyEntry():
+                if action.kind == EntryKind.OPERATION:
+                    self._apply(action, actions)
             case ev.RestoreSnapshot(_, state):
                 self.table = LeaseTable.load(state)
             case ev.TakeSnapshot(index):
                 return self.node.handle(now, ev.SnapshotTaken(index, self.table.dump()))
             case ev.CompleteRequest(ticket):
-                self._reply(ticket, out, None, done=True)
-            case ev.FailRequest(ticket, why, leader, _):
-                self._reply(ticket, out, None, leader, why)
+                self._reply(ticket, actions, None, self.node.name, done=True)
+            case ev.FailRequest(ticket, reason, leader, _):
+                self._reply(ticket, actions, None, leader, reason)
             case _:
-                out.append(action)
+                actions.append(action)
         return []
 
+    def _apply(self, entry: ev.ApplyEntry, actions: list[LeaseServiceAction]) -> None:
+        tokens_before = {task: lease.token for task, lease in self.table.leases.items()}
+        result = self.table.apply(entry.data)
+        if tokens_before.get(result.task, 0) != result.token:
+            actions.append(LeaseHolderChanged(entry.index, result))
+        if not result.token:
+            for waiter in self._waiters.pop(result.task, ()):
+                actions.append(LeaseServiceReply(waiter, LEASE_FREED_NUMBER, result, self.node.name))
+        if entry.ticket is not None:
+            self._reply(entry.ticket, actions, result, self.node.name, done=True)
+
     def _reply(
         self,
-        ticket: int | None,
-        out: list[LeaseServiceAction],
-        granted: LeaseResult | None,
-        leader: str = "",
-        why: str = "",
+        ticket: int,
+        actions: list[LeaseServiceAction],
+        result: LeaseResult | None,
+        leader: str,
+        reason: str = "",
         done: bool = False,
     ) -> None:
-        waiting = self._tickets.pop(ticket, None) if ticket is not None else None
-        if waiting is not None:
-            out.append(
-                LeaseServiceReply(*waiting, granted, leader or (self.node.name if done else ""), why, done)
-            )
+        request = self._pending.pop(ticket, None)
+        if request is not None:
+            reply = LeaseServiceReply(request.caller, request.number, result, leader, reason, done)
+            actions.append(reply)
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.service import (
     LeaseHolderChanged,
     LeaseOperationReceived,
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -8,7 +8,7 @@
 from lotusstream.copies.shard_controller import CopyTerms
 from lotusstream.copies.shards import SHARDS
 from lotusstream.healthcheck.reports import HealthCheckOptions
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
 from lotusstream.operator.tree import (
--- a/lotusstream/quorum/bootstrap.py
+++ b/lotusstream/quorum/bootstrap.py
@@ -1,5 +1,4 @@
-"""How a keeper on an empty disk finds its group, and how one that starts again learns whether its disk is
-an older copy of itself."""
+"""How a cluster is founded, and how an older copy of a disk is recognised."""
 
 from __future__ import annotations
 
@@ -8,40 +7,66 @@
 from lotusstream.quorum.messages import JoinReply, JoinRequest, Member, Members, Snapshot
 
 
-def is_older_copy(mine: JoinRequest, heard: JoinReply) -> bool:
-    """Somebody has heard from this disk what it does not hold. An index counts only in the same term: later
-    terms may rightly have cut it."""
-    if heard.reported_term != mine.term:
-        return heard.reported_term > mine.term
-    return heard.reported_index > mine.last_index or (heard.vote_received and not mine.voted_for)
+def is_older_copy(own: JoinRequest, reply: JoinReply) -> bool:
+    """Whether another node has heard more from this disk than the disk now holds.
+
+    An index counts only in the same term: a later leader may rightly have removed the entry.
+
+    :param own: what the disk holds
+    :param reply: what another node has heard from it
+    """
+    if reply.reported_term != own.term:
+        return reply.reported_term > own.term
+    has_lost_entries = reply.reported_index > own.last_index
+    has_lost_vote = reply.vote_received and not own.voted_for
+    return has_lost_entries or has_lost_vote
+
+
+def find_member(members: Members, incarnation: str) -> Member | None:
+    """The member of this incarnation, or None."""
+    return next((member for member in members if member.incarnation == incarnation), None)
 
 
 class ClusterBootstrap:
-    """An empty disk among the named keepers. A group is founded once, with all of them there and empty, by
-    the first by name: whoever comes to a founded group is a new member of it."""
-
-    def __init__(self, name: str, disk: str, named: Sequence[str]) -> None:
-        self._name, self._disk, self._named = name, disk, tuple(sorted({*named, name}))
-        self._empty: dict[str, str] = {name: disk}
-
-    def on_join_reply(self, sender: str, disk: str, told: JoinReply) -> Snapshot | None:
-        """What to begin with, once it is known: an index of 0, or nothing yet."""
-        if told.members:
-            self._empty.pop(sender, None)
-            # a founder that has not heard of it yet, and so has promised nothing; whoever came later waits
-            # for the leader: a change of members that is heard of may never be agreed on
-            mine = find_member(told.founders, self._disk) is not None
-            return Snapshot(0, 0, told.cluster_id, told.founders) if mine else None
-        if sender in self._named:
-            self._empty[sender] = disk
-        if self._name != self._named[0] or len(self._empty) < len(self._named):
+    """Decides, for a node with an empty disk, which cluster to begin with.
+
+    A cluster is founded once, when all bootstrap members are there with empty disks, by the first of them by
+    name. A node that finds a founded cluster joins it as a new member instead; otherwise a wiped disk could
+    found a second cluster beside the first.
+    """
+
+    def __init__(self, name: str, incarnation: str, bootstrap_members: Sequence[str]) -> None:
+        self._name = name
+        self._incarnation = incarnation
+        self._bootstrap_members = tuple(sorted({*bootstrap_members, name}))
+        self._empty_nodes: dict[str, str] = {name: incarnation}  # by name: incarnation without a cluster
+
+    def on_join_reply(self, sender: str, incarnation: str, reply: JoinReply) -> Snapshot | None:
+        """The first snapshot to begin with, once it is known.
+
+        :param incarnation: the sender's
+        """
+        if reply.members:
+            self._empty_nodes.pop(sender, None)
+            return self._join_as_founder(reply)
+        if sender in self._bootstrap_members:
+            self._empty_nodes[sender] = incarnation
+        is_founder = self._name == self._bootstrap_members[0]
+        if not is_founder or len(self._empty_nodes) < len(self._bootstrap_members):
             return None
-        members = tuple(Member(name, self._empty[name]) for name in self._named)
-        return Snapshot(0, 0, f"{self._disk}-{len(members)}", members)
+        members = tuple(Member(name, self._empty_nodes[name]) for name in self._bootstrap_members)
+        return Snapshot(0, 0, f"{self._incarnation}-{len(members)}", members)
 
-    def accepts(self, found: Snapshot) -> bool:
-        return find_member(found.members, self._disk) is not None
+    def accepts(self, snapshot: Snapshot) -> bool:
+        """Whether the founding of a cluster names this incarnation."""
+        return find_member(snapshot.members, self._incarnation) is not None
 
+    def _join_as_founder(self, reply: JoinReply) -> Snapshot | None:
+        """The first snapshot, if this node is one of the first members.
 
-def find_member(members: Members, disk: str) -> Member | None:
-    return next((member for member in members if member.incarnation == disk), None)
+        Such a node has not heard of the founding yet and so has acknowledged nothing. Any other node waits
+        for the leader: a member list that it hears of may never be committed.
+        """
+        if find_member(reply.founders, self._incarnation) is None:
+            return None
+        return Snapshot(0, 0, reply.cluster_id, reply.founders)
--- a/lotusstream/quorum/events.py
+++ b/lotusstream/quorum/events.py
@@ -1,5 +1,7 @@
-"""What happens to a keeper, and what it wants done. Times are whole microseconds of a clock that never steps
-back and counts while the machine sleeps."""
+"""The events that a Raft node takes and the actions that it returns.
+
+Times are whole microseconds of a clock that never steps back and counts while the machine sleeps.
+"""
 
 from __future__ import annotations
 
@@ -12,57 +14,59 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTimeAdvanced:
-    """Time has passed; due at `Keeper.next_at`."""
+    """Time has passed; due at `RaftNode.next_timer_at`."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
+    """Another node has sent a message."""
+
     envelope: RaftEnvelope
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsPersisted:
-    """All records up to this Save are on the disk."""
+    """All records up to a PersistRecords action are on the disk."""
 
-    number: int
+    number: int  # of that action
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalSubmitted:
-    """`ticket`: handed back with what becomes of it."""
+    """A caller wants an operation in the log."""
 
-    ticket: int
-    data: bytes
+    ticket: int  # returned with ApplyEntry or FailRequest
+    data: bytes  # opaque to this package
 
 
 @dataclass(frozen=True, slots=True)
 class ReadSubmitted:
-    """Wants to know that all told before now is applied here."""
+    """A caller wants to know when everything committed before now is applied here."""
 
-    ticket: int
+    ticket: int  # returned with CompleteRequest or FailRequest
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChangeSubmitted:
-    """Takes a keeper in as a learner that becomes a voter, or out. `disk` '' means whatever it has."""
+    """A caller wants a node as a member, first as a learner and then as a voter, or wants it removed."""
 
-    ticket: int
+    ticket: int  # returned with CompleteRequest or FailRequest
     name: str
-    add: bool
-    incarnation: str = ""
+    add: bool  # False removes it
+    incarnation: str = ""  # '' for the one that last asked to join
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """The machine's whole state after applying `index`."""
+    """The state machine was encoded, as TakeSnapshot had asked for."""
 
-    index: int
+    index: int  # of the last entry applied to it
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """A planned stop: leadership is handed over."""
+    """This node is to stop: it transfers its leadership if it leads."""
 
 
 RaftEvent = (
@@ -81,74 +85,79 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistRecords:
-    """Onto the disk, then Persisted. `rewrite`: in place of all that was there. What can't be written ends
-    this keeper: another is begun from what the disk has."""
+    """Write these records to the disk, then report RecordsPersisted.
+
+    After a failed write this node must not go on: another is begun from what the disk has.
+    """
 
-    number: int
+    number: int  # grows by one with each of these actions
     records: tuple[RaftRecord, ...]
-    replace_log: bool = False
+    replace_log: bool = False  # in place of everything that was written before
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
+    """Send a message to another node. It may be lost."""
+
     envelope: RaftEnvelope
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntry:
-    """A committed entry, each index once and in order. `ticket`: of the proposal, where it was made here."""
+    """Apply a committed entry: each index once and in order."""
 
     index: int
     kind: EntryKind
     data: bytes
-    ticket: int | None
+    ticket: int | None  # of the proposal, if it was submitted here
 
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """The machine's state in place of whatever it has."""
+    """Replace the state machine's state."""
 
-    index: int
+    index: int  # of the last entry that is in it
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class TakeSnapshot:
-    """Asks for Compacted with the state as it is now."""
+    """Encode the state machine's state and report SnapshotTaken."""
 
-    index: int
+    index: int  # of the last entry applied to it
 
 
 @dataclass(frozen=True, slots=True)
 class CompleteRequest:
-    """All that was told before this ticket's Read is applied."""
+    """A read may be answered now, or a membership change is done."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Nothing is known of this ticket's end, or it was refused. `leader`: whom to ask, if known. `maybe`:
-    it may still be carried out."""
+    """A request was refused, or nothing is known of its end."""
 
     ticket: int
     reason: str
-    leader: str
-    may_complete: bool
+    leader: str  # the node to ask instead; '' where it is not known
+    may_complete: bool  # it may still take effect
 
 
 @dataclass(frozen=True, slots=True)
 class ReportRoleChange:
-    """For the log: what this keeper is now, and why."""
+    """Log that this node has another role or another leader."""
 
-    role: str
+    role: str  # a value of Role
     term: int
-    leader: str
+    leader: str  # '' where it is not known
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportMembershipChange:
+    """Log that the committed members have changed."""
+
     index: int
     members: Members
 
--- a/lotusstream/quorum/messages.py
+++ b/lotusstream/quorum/messages.py
@@ -1,4 +1,8 @@
-"""What keepers tell each other and write down. Bounded by whoever reads them off a link."""
+"""What Raft nodes send to each other and write to their disks.
+
+Everything here is encoded as arrays: the order of fields and the tags are the wire form and the stored form.
+Sizes are bounded by whoever reads a message from a connection.
+"""
 
 from __future__ import annotations
 
@@ -8,58 +12,64 @@
 
 
 class EntryKind(IntEnum):
-    NOTHING = 0  # a leader's first entry: commits what earlier terms have left
-    COMMAND = 1
-    MEMBERS = 2
+    """What a log entry holds. The values are stored."""
+
+    NOOP = 0  # a leader's first entry: it commits what earlier terms have left
+    OPERATION = 1  # opaque data of the state machine
+    MEMBERS = 2  # the complete list of members
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A keeper is its disk: the same name on another disk is another member. A learner is no voter."""
+    """A member of the cluster is its incarnation: the same name on another disk is another member."""
 
     name: str
     incarnation: str
-    is_voter: bool = True
+    is_voter: bool = True  # a learner, which has no vote, is False
 
 
 Members = tuple[Member, ...]
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    term: int
+    """One entry of the replicated log."""
+
+    term: int  # of the leader that appended it
     kind: EntryKind
     data: bytes = b""
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All up to `index`. That of a founding has index 0. `group`: a founding's own name, for good."""
+    """The state machine after all entries up to `index`; the first snapshot of a cluster has index 0."""
 
     index: int
-    term: int
-    cluster_id: str
+    term: int  # of the entry at `index`
+    cluster_id: str  # set when the cluster is founded, never changed
     members: Members
-    state: bytes = b""
+    state: bytes = b""  # as the state machine encodes it
 
 
-# Written down, in this order; a later record stands against an earlier one
+# Records on the disk, in the order of writing; a later record replaces what it contradicts
 
 
 class RecordBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
-    pass
+    """A record of a node's disk."""
 
 
 class IncarnationRecord(RecordBase, frozen=True, tag="disk"):
+    """The name of this disk."""
+
     incarnation: str
 
 
 class VoteRecord(RecordBase, frozen=True, tag="ballot"):
-    """The term, and who got this disk's vote in it: a member's disk, or ''."""
+    """The term, and the vote in it. Raft's safety rests on this record being written before it is sent."""
 
     term: int
-    voted_for: str
+    voted_for: str  # an incarnation, or '' where no vote was given
 
 
 class EntriesRecord(RecordBase, frozen=True, tag="entries"):
-    """From index `first` on; whatever stood there is gone."""
+    """Entries from `first_index` on, in place of whatever stood there and behind it."""
 
     first_index: int
     entries: tuple[LogEntry, ...]
@@ -73,100 +83,103 @@
 
 RaftRecord = IncarnationRecord | VoteRecord | EntriesRecord | SnapshotRecord
 
-# Told
+# Messages between nodes
 
 
 class MessageBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
-    pass
+    """A message between nodes."""
 
 
 class JoinRequest(MessageBase, frozen=True, tag="hello"):
-    """Of a keeper that has just started: who are you, and what have you last heard from my disk?"""
+    """A node that has started asks which cluster there is, and what its disk has acknowledged before."""
 
-    term: int
-    last_index: int
-    voted_for: str = ""
+    term: int  # the sender's
+    last_index: int  # of the sender's log
+    voted_for: str = ""  # the sender's vote in `term`
 
 
 class JoinReply(MessageBase, frozen=True, tag="heard"):
-    """The answer. `founders`: whom the group was founded with, where that is still known; `members` is empty
-    where no group is founded. `term`, `index`: the newest that this disk has told; `voted`: it gave the vote
-    of that term to the one that answers."""
+    """Answers a JoinRequest."""
 
-    cluster_id: str
-    founders: Members
-    members: Members
-    reported_term: int
-    reported_index: int
-    vote_received: bool
+    cluster_id: str  # '' where the sender is a member of none
+    founders: Members  # the first members, as long as the sender still knows them
+    members: Members  # empty where the sender is a member of no cluster
+    reported_term: int  # the newest term in which the asking incarnation acknowledged something
+    reported_index: int  # the newest index that it acknowledged in that term
+    vote_received: bool  # whether it gave the sender its vote of the asked term
 
 
 class BootstrapCluster(MessageBase, frozen=True, tag="found"):
+    """Founds a cluster with the members of this first snapshot."""
+
     snapshot: Snapshot
 
 
 class RequestVote(MessageBase, frozen=True, tag="ask"):
-    """`pre`: only whether it would be given. `forced`: the leader wished it so."""
+    """A candidate asks for a vote."""
 
-    term: int
-    last_index: int
-    last_term: int
-    is_pre_vote: bool
-    is_transfer: bool = False
+    term: int  # the candidate's, or with a pre-vote the one that it would begin
+    last_index: int  # of the candidate's log
+    last_term: int  # of the entry there
+    is_pre_vote: bool  # asks only whether the vote would be given
+    is_transfer: bool = False  # the leader asked for this election
 
 
 class VoteReply(MessageBase, frozen=True, tag="vote"):
-    term: int
+    """Answers a RequestVote."""
+
+    term: int  # of the vote that is granted, or else the sender's
     granted: bool
     is_pre_vote: bool
 
 
 class AppendEntries(MessageBase, frozen=True, tag="append"):
-    term: int
+    """Entries behind `prev_index`, or a heartbeat without any."""
+
+    term: int  # the leader's
     prev_index: int
-    prev_term: int
+    prev_term: int  # of the entry at `prev_index`
     entries: tuple[LogEntry, ...]
-    commit_index: int
-    round: int
-    durable_index: int  # what the leader itself has on its disk
+    commit_index: int  # the leader's
+    round: int  # the heartbeat round, returned with the answer
+    durable_index: int  # up to here the leader's own disk has the log
 
 
 class AppendReply(MessageBase, frozen=True, tag="appended"):
-    """`index`: where both logs agree to, or, where they don't, what to try next; 0 asks for the snapshot.
-    `last`: the end of the log that answers."""
+    """Answers AppendEntries."""
 
-    term: int
+    term: int  # the sender's
     success: bool
-    index: int
-    last_index: int
+    index: int  # up to here both logs agree; without success, what to try next, 0 for the snapshot
+    last_index: int  # of the sender's log
     round: int
 
 
 class InstallSnapshot(MessageBase, frozen=True, tag="install"):
-    """A piece of a snapshot, from byte `offset` of its state on; `size`: all of it."""
+    """One chunk of a snapshot."""
 
-    term: int
+    term: int  # the leader's
     snapshot: Snapshot  # without its state
-    offset_bytes: int
-    total_bytes: int
+    offset_bytes: int  # of the chunk in the state
+    total_bytes: int  # of the complete state
     chunk: bytes
-    round: int
+    round: int  # the heartbeat round, returned with the answer
 
 
 class InstallSnapshotReply(MessageBase, frozen=True, tag="installed"):
-    """`have`: bytes of the state that are there; all of them once it is taken."""
+    """Answers InstallSnapshot."""
 
-    term: int
-    index: int
-    received_bytes: int
-    done: bool
+    term: int  # the sender's
+    index: int  # of the snapshot
+    received_bytes: int  # of its state
+    done: bool  # the snapshot is installed
     round: int
 
 
 class TimeoutNow(MessageBase, frozen=True, tag="handover"):
-    """Stand for election at once."""
+    """The leader asks a member to start an election at once."""
 
-    term: int
+    term: int  # the leader's
 
 
 RaftMessage = (
@@ -184,11 +197,11 @@
 
 
 class RaftEnvelope(msgspec.Struct, frozen=True, array_like=True):
-    """`to_disk`: '' where it is not known. `group`: '' before there is one."""
+    """A message with who sent it to whom."""
 
-    sender: str
+    sender: str  # a node's name
     sender_incarnation: str
-    recipient: str
-    recipient_incarnation: str
-    cluster_id: str
+    recipient: str  # a node's name
+    recipient_incarnation: str  # '' for whatever incarnation has that name
+    cluster_id: str  # the sender's; '' before it is a member of a cluster
     message: RaftMessage
--- a/lotusstream/quorum/replication.py
+++ b/lotusstream/quorum/replication.py
@@ -29,7 +29,7 @@
         state.leading.open_proposals = {}
         state.leading.pending_reads = []
         state.report_role_change("elected")
-        self.append_entry(ms.LogEntry(state.term, ms.EntryKind.NOTHING))
+        self.append_entry(ms.LogEntry(state.term, ms.EntryKind.NOOP))
         self.send_heartbeats()
 
     def append_entry(self, entry: ms.LogEntry) -> int:
@@ -48,7 +48,7 @@
         elif len(leading.open_proposals) >= state.timing.max_open_proposal_count:
             state.fail_request(event.ticket, "too much is open", state.name)
         else:
-            index = self.append_entry(ms.LogEntry(state.term, ms.EntryKind.COMMAND, event.data))
+            index = self.append_entry(ms.LogEntry(state.term, ms.EntryKind.OPERATION, event.data))
             leading.open_proposals[index] = event.ticket
 
     def check_majority(self) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,7 +11,7 @@
 from lotusstream.lab.fleet.lock_clients import Asker
 from lotusstream.lab.fleet.relay import Manner
 from lotusstream.lab.fleet.rig import FleetRig, Lost, held_port
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.net.actor import Supervisor
 from lotusstream.protocol import control as wire
 
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -42,8 +42,8 @@
 MEMBERS = (quorum.Member("g1", "g1-disk"), quorum.Member("g2", "g2-disk", False))
 SNAPSHOT = quorum.Snapshot(7, 2, "g1-disk-3", MEMBERS, b"state")
 ENTRIES = (
-    quorum.LogEntry(2, EntryKind.NOTHING),
-    quorum.LogEntry(2, EntryKind.COMMAND, b"command"),
+    quorum.LogEntry(2, EntryKind.NOOP),
+    quorum.LogEntry(2, EntryKind.OPERATION, b"command"),
     quorum.LogEntry(3, EntryKind.MEMBERS, b"\x91\x93\xa2g1\xa1d\xc3"),
 )
 QUORUM_RECORDS = {
--- a/tests/golden/golden_stores.py
+++ b/tests/golden/golden_stores.py
@@ -18,7 +18,7 @@
 
 def _command(term: int, task: str, holder: str) -> quorum.LogEntry:
     wish = leases.AcquireLease(task, holder, f"{holder}-session", 1)
-    return quorum.LogEntry(term, EntryKind.COMMAND, leases.encode_operation(wish))
+    return quorum.LogEntry(term, EntryKind.OPERATION, leases.encode_operation(wish))
 
 
 QUORUM_LOG = (
@@ -26,14 +26,14 @@
     quorum.VoteRecord(1, "g2-disk"),
     quorum.SnapshotRecord(quorum.Snapshot(7, 2, "g1-disk-3", FOUNDERS, lease_table().dump())),
     quorum.EntriesRecord(
-        8, (quorum.LogEntry(2, EntryKind.NOTHING), _command(2, "lost", "g9"), _command(2, "lost", "g9"))
+        8, (quorum.LogEntry(2, EntryKind.NOOP), _command(2, "lost", "g9"), _command(2, "lost", "g9"))
     ),
     quorum.VoteRecord(3, "g2-disk"),
     # entries of a later term in place of 9 and 10
     quorum.EntriesRecord(
         9,
         (
-            quorum.LogEntry(3, EntryKind.NOTHING),
+            quorum.LogEntry(3, EntryKind.NOOP),
             _command(3, "examine", "g3"),
             quorum.LogEntry(3, EntryKind.MEMBERS, encode_members((*FOUNDERS, LEARNER))),
         ),
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -48,7 +48,7 @@
 
 def lease_table(journal: ReplicatedLog) -> leases.LeaseTable:
     entries = [journal.entry_at(index) for index in range(journal.snapshot.index + 1, journal.last_index + 1)]
-    commands = [entry.data for entry in entries if entry.kind == EntryKind.COMMAND]
+    commands = [entry.data for entry in entries if entry.kind == EntryKind.OPERATION]
     return leases.LeaseTable.replay(journal.snapshot.state, commands)
 
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lotusstream.leases import holder as hold
-from lotusstream.leases.granter import LeaseExpiryTracker, LeaseTiming
+from lotusstream.leases.expiry import LeaseExpiryTracker, LeaseTiming
 from lotusstream.leases.holder import FencingTokenGuard, LeaseHolder
 from lotusstream.leases.table import (
     AcquireLease,
