--- a/lotusstream/policy/catalog.py
+++ b/lotusstream/policy/catalog.py
@@ -11,11 +11,12 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
 from lotusstream import interface as api
 from lotusstream.rendezvous import unit_hash
 
-DomainKey = tuple[frozenset[int] | None, frozenset[int] | None, int | None]  # zones, kinds, cell
+EndpointClass = tuple[int, int]  # zone and kind
 
 MIN_PREFERRED_ENDPOINTS = 96  # a domain no larger than this is preferred as a whole
 PREFERRED_EVEN_SHARES = 3.0  # preferred endpoints, as a multiple of this gateway's even share of a domain
@@ -23,6 +24,14 @@
 UNLISTED_RANK = 2.0  # behind all listed endpoints
 
 
+class DomainKey(NamedTuple):
+    """What distinguishes domains; None: not restricted."""
+
+    zones: frozenset[int] | None
+    kinds: frozenset[int] | None
+    cell: int | None
+
+
 @dataclass(frozen=True, slots=True)
 class EntryChange:
     """One endpoint whose entry differs between two versions of the list."""
@@ -110,8 +119,8 @@
         cores of an endpoint of a kind."""
         self.entries: dict[api.EndpointId, api.EndpointEntry] = {}
         self.ready_cores = 0.0
-        self.cores_by_class = Counter[tuple[int, int]]()  # of ready endpoints, by zone and kind
-        self._endpoints_by_class = Counter[tuple[int, int]]()
+        self.cores_by_class = Counter[EndpointClass]()  # of ready endpoints, by zone and kind
+        self._endpoints_by_class = Counter[EndpointClass]()
         self._seed = seed
         self._even_share = even_share
         self._cores_of = cores_of
--- a/lotusstream/policy/context.py
+++ b/lotusstream/policy/context.py
@@ -46,10 +46,12 @@
         self.rule_limits = started.rule_limits
         self.capabilities = started.capabilities
         self.random = RandomDraws(started.seed)
+        # microseconds: the latency objective that windows and backoffs are multiples of
         self.shortest_objective = min(profile.latency_objective for profile in started.profiles)
+        # microseconds between two periodic evaluations
         self.evaluation_interval = max(
             started.batch_interval, self.shortest_objective // EVALUATIONS_PER_OBJECTIVE
-        )  # microseconds
+        )
         self.answer_margin = ANSWER_MARGIN_INTERVALS * self.evaluation_interval  # microseconds
         self.even_share = 1.0 / started.gateway_count  # of the traffic, were it spread evenly
         self.share = self.even_share  # of the traffic that comes to this gateway, as estimated
--- a/lotusstream/policy/domains.py
+++ b/lotusstream/policy/domains.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lotusstream import interface as api
-from lotusstream.policy.catalog import Catalog, Domain
+from lotusstream.policy.catalog import Catalog, Domain, DomainKey
 from lotusstream.policy.pools import Pools
 from lotusstream.policy.state import Request
 
@@ -21,17 +21,17 @@
 
     def all_endpoints(self) -> Domain:
         """Returns the domain of all ready endpoints."""
-        return self._catalog.domain((None, None, None), _admits_all)
+        return self._catalog.domain(DomainKey(None, None, None), _admits_all)
 
     def of_request(self, request: Request) -> Domain:
         """Returns the domain that a request may run in."""
         profile = request.profile
         cell = request.cell
         if cell is None:
-            return self._catalog.domain((profile.zones, profile.kinds, None), profile.admits)
+            return self._catalog.domain(DomainKey(profile.zones, profile.kinds, None), profile.admits)
         in_cell = self._pools.endpoints_of_cell(cell)
         return self._catalog.domain(
-            (profile.zones, profile.kinds, cell),
+            DomainKey(profile.zones, profile.kinds, cell),
             lambda entry: entry.id in in_cell and profile.admits(entry),
         )
 
--- a/lotusstream/policy/endpoint_states.py
+++ b/lotusstream/policy/endpoint_states.py
@@ -108,7 +108,7 @@
         else:
             endpoint.entry = change.after
         if not change.is_ready:
-            endpoint.pool.discount(endpoint)
+            endpoint.pool.set_inactive(endpoint)
         if change.after is None:
             self.drop_if_removed(endpoint)
 
@@ -119,7 +119,7 @@
         self.retained[entry.id] = restarted
         restarted.running = endpoint.running
         restarted.threads = endpoint.threads
-        pool.discount(endpoint)
+        pool.set_inactive(endpoint)
         pool.changed.pop(endpoint, None)
         for group in endpoint.warm_groups:
             self._set_cold(endpoint, group)
@@ -135,7 +135,7 @@
             self._drop(endpoint)
 
     def _drop(self, endpoint: Endpoint) -> None:
-        endpoint.pool.discount(endpoint)
+        endpoint.pool.set_inactive(endpoint)
         endpoint.pool.changed.pop(endpoint, None)
         self.retained.pop(endpoint.entry.id, None)
         for group in endpoint.warm_groups:
@@ -147,7 +147,7 @@
             pool.cores = 0.0
             pool.threads = 0
             for endpoint in list(pool.active):
-                pool.discount(endpoint)
+                pool.set_inactive(endpoint)
             pool.changed.clear()
         for entry in self._catalog.entries.values():
             if entry.status is api.EndpointStatus.READY:
--- a/lotusstream/policy/evaluation.py
+++ b/lotusstream/policy/evaluation.py
@@ -49,7 +49,7 @@
             self._evaluate_request(request)
 
     def _evaluate_pool(self, pool: Pool) -> None:
-        _, answers = pool.latency_ratios.total(self._context.now)
+        answers = pool.latency_ratios.count(self._context.now)
         if answers >= ENOUGH_ANSWERS:
             pool.best_ratio = min(pool.baseline_ratio, pool.best_ratio * BEST_RATIO_GROWTH)
         self._limits.adapt_pool(pool)
--- a/lotusstream/policy/limits.py
+++ b/lotusstream/policy/limits.py
@@ -86,9 +86,9 @@
             and endpoint.entry.status is api.EndpointStatus.READY
             and (endpoint.running or endpoint.overloaded)
         ):
-            pool.count(endpoint)
+            pool.set_active(endpoint)
         else:
-            pool.discount(endpoint)
+            pool.set_inactive(endpoint)
 
     def adapt_endpoint(self, endpoint: Endpoint) -> None:
         """Adapts the factor of an endpoint's limit to its latency."""
--- a/lotusstream/policy/outlier_ejection.py
+++ b/lotusstream/policy/outlier_ejection.py
@@ -45,9 +45,8 @@
 
         The time is drawn: guards the endpoint against trial requests of all gateways in one moment.
         """
-        endpoint.unresponsive = (
-            endpoint.unresponsive or endpoint.consecutive_failures < EJECTION_FAILURES
-        )  # then it is ejected for its silence
+        ejected_for_silence = endpoint.consecutive_failures < EJECTION_FAILURES
+        endpoint.unresponsive = endpoint.unresponsive or ejected_for_silence
         endpoint.consecutive_failures = max(endpoint.consecutive_failures, EJECTION_FAILURES)
         objectives = min(MAX_EJECTION_OBJECTIVES, endpoint.consecutive_failures - EJECTION_FAILURES + 1)
         duration = self._context.shortest_objective * objectives * (0.5 + self._context.random.next_ratio())
--- a/lotusstream/policy/retries.py
+++ b/lotusstream/policy/retries.py
@@ -92,8 +92,8 @@
         """Takes a retry from the budget and the endpoint's credit; returns whether the budget had one."""
         now = self._context.now
         limits = self._context.rule_limits
-        _, requests = self._requests.total(now, covering=False)
-        _, retries = self._retries.total(now)
+        requests = self._requests.count(now, covering=False)
+        retries = self._retries.count(now)
         if retries + 1 > limits.retry_budget_min + limits.retry_budget_ratio * requests:
             return False
         self._retries.add(now, 0.0)
--- a/lotusstream/policy/slow_start.py
+++ b/lotusstream/policy/slow_start.py
@@ -86,11 +86,11 @@
         if endpoint.slow_start_work is None:
             endpoint.slow_start_work = SlidingWindow(window, WINDOW_BUCKET_COUNT)
         if work <= budget:
-            return work <= budget - endpoint.slow_start_work.total(now)[0]
+            return work <= budget - endpoint.slow_start_work.amount(now)
         number, elapsed = divmod(now + int(endpoint.slow_start_phase * window), window)
         window_seed = zlib.crc32(number.to_bytes(8, "little"), self._context.random.seed)
         draw = unit_hash(endpoint.entry.id, window_seed)
-        remaining = budget - endpoint.slow_start_work.total(now, covering=False)[0]
+        remaining = budget - endpoint.slow_start_work.amount(now, covering=False)
         return elapsed < ADMITTING_WINDOW_RATIO * window and draw * work <= remaining
 
     def _work_budget(self, endpoint: Endpoint) -> float:
--- a/lotusstream/policy/spare_capacity.py
+++ b/lotusstream/policy/spare_capacity.py
@@ -9,7 +9,7 @@
 import math
 
 from lotusstream import interface as api
-from lotusstream.policy.catalog import Catalog
+from lotusstream.policy.catalog import Catalog, EndpointClass
 from lotusstream.policy.context import DecisionContext
 from lotusstream.policy.pools import Pools
 from lotusstream.rendezvous import unit_hash
@@ -24,7 +24,7 @@
         self._context = context
         self._catalog = catalog
         self._pools = pools
-        self.ratios: dict[tuple[int, int], float] = {}
+        self.ratios: dict[EndpointClass, float] = {}
 
     def recompute(self) -> None:
         """Computes the ratios from the work that was asked for lately and the ready cores."""
@@ -45,8 +45,9 @@
     def _requested_work(self) -> list[float]:
         """Returns the work asked for lately by profile, in thread microseconds."""
         now = self._context.now
+        pools = self._pools.by_name.values()
         return [
-            sum([pool.estimates[index].requested_work.total(now)[0] for pool in self._pools.by_name.values()])
+            sum([pool.estimates[index].requested_work.amount(now) for pool in pools])
             for index in range(len(self._context.settings.profiles))
         ]
 
--- a/lotusstream/policy/state.py
+++ b/lotusstream/policy/state.py
@@ -135,7 +135,7 @@
         """The best latency ratio that can be relied on, at least 1."""
         return max(1.0, min(self.best_ratio, self.baseline_ratio))
 
-    def count(self, endpoint: Endpoint) -> None:
+    def set_active(self, endpoint: Endpoint) -> None:
         """Adds an endpoint to the active ones, or takes in how it has changed."""
         sums = ActiveSums(
             endpoint.cores, endpoint.cores if endpoint.overloaded else 0.0, endpoint.concurrency_limit
@@ -143,7 +143,7 @@
         self.sums = self.sums + sums - self.active.get(endpoint, NO_SUMS)
         self.active[endpoint] = sums
 
-    def discount(self, endpoint: Endpoint) -> None:
+    def set_inactive(self, endpoint: Endpoint) -> None:
         """Removes an endpoint from the active ones, if it is one."""
         sums = self.active.pop(endpoint, None)
         if sums is not None:
--- a/lotusstream/sliding_window.py
+++ b/lotusstream/sliding_window.py
@@ -33,6 +33,14 @@
         recent = [bucket for bucket in self._buckets if bucket[0] >= oldest]
         return sum([bucket[1] for bucket in recent]), sum([bucket[2] for bucket in recent])
 
+    def amount(self, now: int, *, covering: bool = True) -> float:
+        """Returns the sum of amounts, as `total` does."""
+        return self.total(now, covering=covering)[0]
+
+    def count(self, now: int, *, covering: bool = True) -> float:
+        """Returns the sum of counts, as `total` does."""
+        return self.total(now, covering=covering)[1]
+
     def mean(self, now: int, prior: float, weight: float) -> float:
         """Returns the mean amount of a count, where the prior weighs as much as `weight` counts."""
         amount, count = self.total(now)
--- a/tests/policy/test_catalog.py
+++ b/tests/policy/test_catalog.py
@@ -6,13 +6,13 @@
 from conftest import LOOKUP, engine
 
 from lotusstream import interface as api
-from lotusstream.policy.catalog import Catalog
+from lotusstream.policy.catalog import Catalog, DomainKey
 
 
 def test_of_entries_with_one_id_the_last_counts() -> None:
     """An endpoint that was listed twice was counted twice, or stayed when it was removed."""
     catalog = Catalog(7, 1.0, lambda _kind: 8.0)
-    domain = catalog.domain((None, None, None), lambda _entry: True)
+    domain = catalog.domain(DomainKey(None, None, None), lambda _entry: True)
     first, removed = engine(1), engine(1, status=api.EndpointStatus.REMOVED)
     catalog.apply([first, removed, first], complete=True)
     assert catalog.ready == len(domain) == 1
@@ -28,7 +28,7 @@
     entries = [engine(1, id=b"s-%04d" % number, kind=number % 2, zone=number % 3) for number in range(400)]
     restricted = replace(LOOKUP, kinds=frozenset({1}))
     updated = Catalog(7, 0.1, lambda kind: 4.0 + kind)
-    domain = updated.domain((None, restricted.kinds, None), restricted.admits)
+    domain = updated.domain(DomainKey(None, restricted.kinds, None), restricted.admits)
     updated.apply(entries, complete=True)
     for _ in range(200):
         index = draw.randrange(len(entries))
@@ -39,6 +39,6 @@
         updated.apply([entries[index]], complete=False)
     rebuilt = Catalog(7, 0.1, lambda kind: 4.0 + kind)
     rebuilt.apply(entries, complete=True)
-    rebuilt_domain = rebuilt.domain((None, restricted.kinds, None), restricted.admits)
+    rebuilt_domain = rebuilt.domain(DomainKey(None, restricted.kinds, None), restricted.admits)
     assert domain.first(400) == rebuilt_domain.first(400) and domain.preferred == rebuilt_domain.preferred
     assert updated.cores_by_class == rebuilt.cores_by_class and updated.ready_cores == rebuilt.ready_cores
--- a/tests/policy/test_dispatch.py
+++ b/tests/policy/test_dispatch.py
@@ -28,9 +28,8 @@
 def test_many_waiting_requests_that_fit_nowhere_starve_no_other(host: PolicyHost) -> None:
     """The placements of a batch are bounded. Requests that needed none counted too, the same ones in each
     batch."""
-    waiting = [
-        host.receive(profile=4, timeout=5 * S) for _ in range(100)
-    ]  # restricted to a kind that is not listed
+    # restricted to a kind that is not listed
+    waiting = [host.receive(profile=4, timeout=5 * S) for _ in range(100)]
     request = host.receive(timeout=6 * S)
     assert not any(host.attempts(each) for each in waiting) and len(host.attempts(request)) == 1
 
--- a/tests/policy/test_outlier_ejection.py
+++ b/tests/policy/test_outlier_ejection.py
@@ -111,9 +111,8 @@
         host.now += S // 2
         host.handle(api.PeerHealthReported(ejected, False))
     until = endpoint_snapshot(host, ejected).ejected_until or 0
-    assert (
-        unreported_until + S < until <= started_at + 21 * S < host.now
-    )  # a trial is due, whatever peers report
+    # a trial is due, whatever peers report
+    assert unreported_until + S < until <= started_at + 21 * S < host.now
 
 
 def test_a_silent_endpoint_is_ejected_though_no_further_request_comes() -> None:
