--- a/lotusstream/net/attempt_calls.py
+++ b/lotusstream/net/attempt_calls.py
@@ -192,7 +192,7 @@
     async def _send_order(self, request: bytes) -> bool:
         """Whether the endpoint has responded."""
         try:
-            connection = await self._pool.get(ends_things=True, fresh=not self._context.allows_hedging)
+            connection = await self._pool.get(may_use_reserve=True, fresh=not self._context.allows_hedging)
             await self._pool.call(connection, request, http.CALL_TIMEOUT_US)
             return True
         except ConnectError:
--- a/lotusstream/net/connection.py
+++ b/lotusstream/net/connection.py
@@ -3,18 +3,22 @@
 from __future__ import annotations
 
 import asyncio
-import encodings.idna  # noqa: F401 - the loop's connect looks for it, and may first do so out of descriptors
+import encodings.idna  # noqa: F401 - the loop's connect imports it, and may first do so out of descriptors
 import socket
 
 from lotusstream.net.buffer import Buffer, BufferFullError
 from lotusstream.net.clock import Clock
+from lotusstream.net.errors import NetError
 from lotusstream.protocol import http
 
-US = 1_000_000
-Address = tuple[str, int]
+US = 1_000_000  # microseconds in a second
+INITIAL_BUFFER_BYTES = 8192  # an endpoint's response in one read
+RESERVED_PART = 8  # one connection in so many is reserved
 
+Address = tuple[str, int]  # host and port
 
-class ConnectError(Exception):
+
+class ConnectError(NetError):
     """No connection came up, so nothing was sent."""
 
 
@@ -26,35 +30,41 @@
     """This gateway may open no further connection now."""
 
 
-class CallBrokenError(Exception):
-    """A call went out, at least in part, and no whole answer came back."""
+class CallBrokenError(NetError):
+    """A call was sent, at least in part, and no complete response came back."""
 
 
 class CallSilentError(CallBrokenError):
-    """Nothing came in time: it may have come whole and be worked on."""
+    """Nothing came in time: the call may have come complete and be worked on."""
 
 
 class SocketBudget:
-    """How many connections may be open at once. The last few are kept back for calls that end things."""
-
-    def __init__(self, most: int) -> None:
-        self.limit, self.reserved, self.used = most, most // 8, 0
-        self._idle: dict[Connection, ConnectionPool] = {}
-
-    def acquire(self, ends_things: bool) -> None:
-        most = self.limit if ends_things else self.limit - self.reserved
-        while self.used >= most and self._idle:
+    """How many connections may be open at once. The last few are reserved for calls that end something, so
+    that a gateway at its limit can still cancel. An idle connection is closed where a new one needs its
+    place, the longest idle first."""
+
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.reserved = limit // RESERVED_PART
+        self.used = 0  # connections that are open, or about to be
+        self._idle: dict[Connection, ConnectionPool] = {}  # the longest idle first
+
+    def acquire(self, may_use_reserve: bool) -> None:
+        """Takes the place of one connection. Raises NoDescriptorError."""
+        limit = self.limit if may_use_reserve else self.limit - self.reserved
+        while self.used >= limit and self._idle:
             connection, pool = next(iter(self._idle.items()))
             pool.drop(connection)
-        if self.used >= most:
+        if self.used >= limit:
             raise NoDescriptorError
         self.used += 1
 
     def release(self) -> None:
+        """Gives back the place of one connection."""
         self.used -= 1
 
     def trim(self, now: int) -> None:
-        """Closes what has been idle for as long as its pool keeps one: the longest idle stand first."""
+        """Closes connections that have been idle for as long as their pool keeps one. `now`: microseconds."""
         while self._idle:
             connection, pool = next(iter(self._idle.items()))
             if now - connection.idle_since < pool.max_idle:
@@ -62,14 +72,17 @@
             pool.drop(connection)
 
     def mark_idle(self, connection: Connection, pool: ConnectionPool) -> None:
+        """The connection may be closed for another; its pool drops it then."""
         self._idle[connection] = pool
 
     def mark_busy(self, connection: Connection) -> None:
+        """The connection is in use, or closed."""
         self._idle.pop(connection, None)
 
 
 def bytes_there(sock: socket.socket) -> bool | None:
-    """Whether bytes wait to be read; None where nothing has come, False where the other side has closed."""
+    """Whether bytes wait to be read; None where nothing has come, False where the other side has closed.
+    Raises OSError where the connection is broken."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except BlockingIOError:
@@ -77,139 +90,182 @@
 
 
 class Connection:
-    """One call at a time. After a broken call it is to be closed."""
-
-    def __init__(self, sock: socket.socket, budget: SocketBudget, longest_body: int) -> None:
-        self._sock, self._budget, self._longest = sock, budget, longest_body
-        self._buffer = Buffer(8192, http.MAX_HEAD_BYTES + longest_body)  # an engine's answer in one read
+    """Carries one call at a time. After a broken call it is to be closed."""
+
+    def __init__(self, sock: socket.socket, budget: SocketBudget, max_body_bytes: int) -> None:
+        """`budget`: in which a place is taken for this connection."""
+        self._sock = sock
+        self._budget = budget
+        self._max_body_bytes = max_body_bytes
+        self._buffer = Buffer(INITIAL_BUFFER_BYTES, http.MAX_HEAD_BYTES + max_body_bytes)
         self.closed = False
-        self.idle_since = 0
+        self.idle_since = 0  # microseconds
 
     @classmethod
     async def open(
-        cls, endpoint: Address, time_out: int, budget: SocketBudget, longest_body: int, *, ends_things: bool
+        cls,
+        address: Address,
+        timeout: int,
+        budget: SocketBudget,
+        max_body_bytes: int,
+        *,
+        may_use_reserve: bool,
     ) -> Connection:
-        budget.acquire(ends_things)
+        """Connects within `timeout`, in microseconds. Raises ConnectError."""
+        budget.acquire(may_use_reserve)
         sock: socket.socket | None = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout(time_out / US):
-                await asyncio.get_running_loop().sock_connect(sock, endpoint)
-            return cls(sock, budget, longest_body)
+            async with asyncio.timeout(timeout / US):
+                await asyncio.get_running_loop().sock_connect(sock, address)
+            return cls(sock, budget, max_body_bytes)
         except BaseException as error:
             budget.release()
             if sock is not None:
                 sock.close()
             if isinstance(error, ConnectionRefusedError):
                 raise ConnectionRefusedByPeerError(str(error)) from error
-            if isinstance(error, OSError):  # a time-out is one too
+            if isinstance(error, OSError):  # TimeoutError is one too
                 raise ConnectError(repr(error)) from error
             raise
 
     def is_still_open(self) -> bool:
-        """Nothing has come while it was idle, no close either."""
+        """Whether nothing has come while it was idle, the other side's close neither."""
         try:
             return not self.closed and bytes_there(self._sock) is None
         except OSError:
             return False
 
-    async def call(self, request: bytes, patience: int, longest: int = 0) -> http.HttpResponse:
-        """`patience`: until the answer is whole or, where a `longest` is given, until it goes on, in
-        microseconds.
-        A long answer over a slow path would be asked for again and again otherwise."""
+    async def call(self, request: bytes, timeout: int, max_duration: int = 0) -> http.HttpResponse:
+        """Sends a request and reads its response.
+
+        :param timeout: until the response is complete, microseconds; where there is a `max_duration`, until
+            more of it comes. A long response over a slow path would be asked for again and again otherwise.
+        :param max_duration: until the response is complete, microseconds; 0 for `timeout`.
+        :raises CallSilentError: where the time is over.
+        :raises CallBrokenError: where the connection breaks, or what comes is no response.
+        """
         loop = asyncio.get_running_loop()
-        reader = http.HttpResponseReader(self._longest)
-        latest = loop.time() + longest / US
+        latest = loop.time() + max_duration / US
+        reader = http.HttpResponseReader(self._max_body_bytes)
         try:
-            async with asyncio.timeout(patience / US) as limit:
+            async with asyncio.timeout(timeout / US) as limit:
                 await loop.sock_sendall(self._sock, request)
                 while reader.response is None:
-                    count = await loop.sock_recv_into(self._sock, self._buffer.space())
-                    if not count:
-                        raise CallBrokenError("closed before the answer was whole")
-                    if longest:
-                        limit.reschedule(min(latest, loop.time() + patience / US))
-                    self._buffer.filled(count)
-                    data = self._buffer.data()
-                    self._buffer.use(len(data))
-                    reader.feed(data)
+                    await self._read_some(reader)
+                    if max_duration:
+                        limit.reschedule(min(latest, loop.time() + timeout / US))
         except TimeoutError as error:
             raise CallSilentError(repr(error)) from error
         except (OSError, http.ResponseFormatError, BufferFullError) as error:
             raise CallBrokenError(repr(error)) from error
         return reader.response
 
+    async def _read_some(self, reader: http.HttpResponseReader) -> None:
+        loop = asyncio.get_running_loop()
+        count = await loop.sock_recv_into(self._sock, self._buffer.space())
+        if not count:
+            raise CallBrokenError("closed before the answer was whole")
+        self._buffer.filled(count)
+        data = self._buffer.data()
+        self._buffer.use(len(data))
+        reader.feed(data)
+
     def close(self) -> None:
-        if not self.closed:
-            self.closed = True
-            self._budget.mark_busy(self)
-            self._budget.release()
-            self._sock.close()
+        """Closes the connection, if it is open, and gives its place back."""
+        if self.closed:
+            return
+        self.closed = True
+        self._budget.mark_busy(self)
+        self._budget.release()
+        self._sock.close()
 
 
 class ConnectionPool:
-    """The connections to one address. Idle ones are closed well before the other side does it. `rest`: how
-    long one is left alone before another user gets it, in microseconds. Guards against an answer that comes a
-    second time some moments later, after the look at the connection: the next user would read it as its own,
-    and nothing in an engine's first answer tells whose it is. Costs a connection for each call within that
-    time."""
+    """The connections to one address. Idle ones are closed well before the other side closes them.
+
+    An idle connection rests before its next user gets it. Guards against a response that comes a second time
+    some moments later, after the check of the connection: the next user would read it as its own, since
+    nothing in an endpoint's first response tells what it belongs to. Costs a connection for each call within
+    that time.
+    """
 
     def __init__(
         self,
-        endpoint: Address,
+        address: Address,
         budget: SocketBudget,
         connect_timeout: int,
         idle_timeout: int,
-        longest_body: int,
+        max_body_bytes: int,
         clock: Clock,
         rest: int = 0,
     ) -> None:
-        self._endpoint, self._budget, self._longest = endpoint, budget, longest_body
+        """`idle_timeout`: after which the other side closes. `rest`: of an idle connection. All times are in
+        microseconds."""
+        self.host = f"{address[0]}:{address[1]}"
+        self.connect_timeout = connect_timeout
+        self.max_idle = idle_timeout // 2
+        self._address = address
+        self._budget = budget
+        self._max_body_bytes = max_body_bytes
+        self._clock = clock
         self._rest = rest
-        self.host, self._clock = f"{endpoint[0]}:{endpoint[1]}", clock
-        self.connect_timeout, self.max_idle = connect_timeout, idle_timeout // 2
-        self._idle: dict[Connection, None] = {}
+        self._idle: dict[Connection, None] = {}  # the longest idle first
         self._closed = False
 
-    async def get(self, *, ends_things: bool = False, fresh: bool = False) -> Connection:
+    async def get(self, *, may_use_reserve: bool = False, fresh: bool = False) -> Connection:
+        """An idle connection, or a new one. `fresh`: a new one in any case. Raises ConnectError."""
         self.trim()
+        if not fresh:
+            connection = self._take_idle()
+            if connection is not None:
+                return connection
+        return await Connection.open(
+            self._address,
+            self.connect_timeout,
+            self._budget,
+            self._max_body_bytes,
+            may_use_reserve=may_use_reserve,
+        )
+
+    def _take_idle(self) -> Connection | None:
+        """The last used connection that has rested: the others get old and are closed."""
         now = self._clock.now()
-        rested = [] if fresh else [each for each in self._idle if now - each.idle_since >= self._rest]
-        for connection in reversed(rested):  # the last used first: the rest get old and are closed
+        rested = [each for each in self._idle if now - each.idle_since >= self._rest]
+        for connection in reversed(rested):
             del self._idle[connection]
             self._budget.mark_busy(connection)
             if connection.is_still_open():
                 return connection
             connection.close()
-        return await Connection.open(
-            self._endpoint, self.connect_timeout, self._budget, self._longest, ends_things=ends_things
-        )
+        return None
 
     async def call(
-        self, connection: Connection, request: bytes, patience: int, longest: int = 0
+        self, connection: Connection, request: bytes, timeout: int, max_duration: int = 0
     ) -> http.HttpResponse:
-        """One call on a connection that was got from here; afterwards it is idle or closed."""
-        answer = await self.call_and_keep(connection, request, patience, longest)
+        """One call, as `Connection.call`, on a connection of this pool; it is idle or closed afterwards."""
+        response = await self.call_and_keep(connection, request, timeout, max_duration)
         self.put_back(connection)
-        return answer
+        return response
 
     async def call_and_keep(
-        self, connection: Connection, request: bytes, patience: int, longest: int = 0
+        self, connection: Connection, request: bytes, timeout: int, max_duration: int = 0
     ) -> http.HttpResponse:
-        """The same, for a user that has more to ask: the connection is still its own, to be put back, and
+        """The same, for a user with further calls: the connection stays its own, to be put back later. It is
         closed where it can carry no other call."""
         try:
-            answer = await connection.call(request, patience, longest)
+            response = await connection.call(request, timeout, max_duration)
         except BaseException:
             connection.close()
             raise
-        if not answer.connection_reusable:
+        if not response.connection_reusable:
             connection.close()
-        return answer
+        return response
 
     def put_back(self, connection: Connection) -> None:
+        """Makes a connection idle, unless it is closed."""
         if connection.closed or self._closed:
             connection.close()
             return
@@ -218,20 +274,25 @@
         self._budget.mark_idle(connection, self)
 
     def drop(self, connection: Connection) -> None:
+        """Closes a connection, idle or not."""
         self._idle.pop(connection, None)
         connection.close()
 
     def trim(self) -> None:
-        """Idle ones stand in the order of their last use."""
+        """Closes connections that have been idle for too long."""
         now = self._clock.now()
-        while self._idle and now - (oldest := next(iter(self._idle))).idle_since >= self.max_idle:
+        while self._idle:
+            oldest = next(iter(self._idle))
+            if now - oldest.idle_since < self.max_idle:
+                return
             self.drop(oldest)
 
     def close(self) -> None:
-        """Calls that are still out may end; none of their connections is kept."""
+        """Calls that are still made may end; none of their connections is kept."""
         self._closed = True
         self.clear()
 
     def clear(self) -> None:
+        """Closes all idle connections."""
         for connection in list(self._idle):
             self.drop(connection)
--- a/lotusstream/net/discovery.py
+++ b/lotusstream/net/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the notice board, at whatever address the configuration in force names."""
+"""Follows the endpoint list by long polls, at the discovery address of the configuration in force."""
 
 from __future__ import annotations
 
@@ -20,30 +20,32 @@
 from lotusstream.protocol import discovery, http
 
 MAX_RESPONSE_BYTES = 8 << 20
-MAX_POLL_US = 10_000_000  # microseconds, while more of a list keeps coming
-LONG_POLL_US = (
-    http.DISCOVERY_PROPAGATION_US // 4
-)  # a poll that falls silent is made anew well before its news counts as told
+MAX_POLL_US = 10_000_000  # while more of a list keeps coming
+LONG_POLL_US = http.DISCOVERY_PROPAGATION_US // 4  # a silent poll is repeated well before its events count
+MAX_CONNECTION_COUNT = 8
 
 
 @dataclass(frozen=True, slots=True)
 class FollowDiscovery:
-    """The board is found there from now on."""
+    """The endpoint list is found there from now on."""
 
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
 class PollEnded:
-    """What a poll of that board brought; None where it failed."""
+    """A poll has ended."""
 
-    pool: ConnectionPool
-    events: discovery.WatchEvents | None
+    pool: ConnectionPool  # that it went over
+    events: discovery.WatchEvents | None  # None: it failed
 
 
-class DiscoveryActor(Actor[discovery.WatchEvents | FollowDiscovery | PollEnded]):
-    """Its mailbox takes what is known at the start, where to ask, and what each poll brought. A poll is a
-    task of its own, so that another board is asked at once."""
+DiscoveryMessage = discovery.WatchEvents | FollowDiscovery | PollEnded
+
+
+class DiscoveryActor(Actor[DiscoveryMessage]):
+    """Its mailbox takes the events of the configuration, where to poll, and what each poll brought. A poll is
+    a task of its own, so that another address is polled at once."""
 
     def __init__(
         self,
@@ -52,80 +54,105 @@
         report: Callable[[discovery.EndpointListUpdate], None],
         supervisor: Supervisor,
     ) -> None:
+        """`report`: takes each change of the list."""
         super().__init__("engine list", supervisor)
-        self._deployment, self._clock, self._report = deployment, clock, report
-        self._budget = SocketBudget(8)
-        self._pool: ConnectionPool | None = None
+        self._deployment = deployment
+        self._clock = clock
+        self._report = report
+        self._budget = SocketBudget(MAX_CONNECTION_COUNT)
+        self._pool: ConnectionPool | None = None  # of the address that is polled
         self._polling: asyncio.Task[None] | None = None
-        self._last = 0
+        self._revision = 0  # of the last event; 0: a snapshot is asked for
 
-    async def receive(self, message: discovery.WatchEvents | FollowDiscovery | PollEnded) -> None:
+    async def receive(self, message: DiscoveryMessage) -> None:
+        """Handles one message."""
         match message:
             case discovery.WatchEvents():
                 self._apply(message)
-            case FollowDiscovery(endpoint):
-                if self._polling is not None:
-                    self._polling.cancel()
-                if self._pool is not None:
-                    self._pool.close()
-                connect, idle = self._deployment.connect_timeout, self._deployment.idle_timeout
-                self._pool = ConnectionPool(
-                    endpoint, self._budget, connect, idle, MAX_RESPONSE_BYTES, self._clock
-                )
-                self._ask(self._pool)
-            case PollEnded(board, told) if board is self._pool:
-                try:
-                    if told is not None:
-                        self._apply(told)
-                finally:
-                    self._ask(board)
-
-    def _ask(self, board: ConnectionPool) -> None:
-        self._polling = self.supervisor.start(f"{self.name} poll", self._poll(board, self._last))
-
-    def _apply(self, told: discovery.WatchEvents) -> None:
-        """Events by their numbers, told as one. After a gap, or where the numbers have begun anew, all are
-        asked for."""
-        if told.revision < self._last:
-            self._last = 0
+            case FollowDiscovery():
+                self._on_follow_discovery(message)
+            case PollEnded():
+                self._on_poll_ended(message)
+
+    def _on_follow_discovery(self, follow: FollowDiscovery) -> None:
+        if self._polling is not None:
+            self._polling.cancel()
+        if self._pool is not None:
+            self._pool.close()
+        self._pool = ConnectionPool(
+            follow.address,
+            self._budget,
+            self._deployment.connect_timeout,
+            self._deployment.idle_timeout,
+            MAX_RESPONSE_BYTES,
+            self._clock,
+        )
+        self._start_poll(self._pool)
+
+    def _on_poll_ended(self, poll: PollEnded) -> None:
+        if poll.pool is not self._pool:  # of an earlier address
             return
-        found: list[discovery.EndpointListUpdate] = []
-        for notice in told.updates:
-            if notice.revision <= self._last:
+        try:
+            if poll.events is not None:
+                self._apply(poll.events)
+        finally:
+            self._start_poll(poll.pool)
+
+    def _start_poll(self, pool: ConnectionPool) -> None:
+        self._polling = self.supervisor.start(f"{self.name} poll", self._poll(pool, self._revision))
+
+    def _apply(self, events: discovery.WatchEvents) -> None:
+        """Reports new events as one update. After a gap in the revisions, or where they have begun anew, a
+        snapshot is asked for."""
+        if events.revision < self._revision:
+            self._revision = 0
+            return
+        new_updates: list[discovery.EndpointListUpdate] = []
+        for update in events.updates:
+            if update.revision <= self._revision:
                 continue
-            if notice.revision != self._last + 1 and not notice.is_snapshot:
+            if update.revision != self._revision + 1 and not update.is_snapshot:
                 self.supervisor.counters.add("gaps in the list")
-                self._last = 0
+                self._revision = 0
                 break
-            if notice.unreadable_count:
-                self.supervisor.counters.add("unreadable entries", notice.unreadable_count)
-                self.supervisor.log.write("list", f"{notice.unreadable_count} entries that can't be read")
-            self._last = notice.revision
-            found.append(notice)
-        if found:
-            self._report(discovery.merge_updates(found))
-
-    async def _poll(self, board: ConnectionPool, last: int) -> None:
-        """One poll, and after one that failed a pause before the next."""
-        began, told = self._clock.now(), None
-        request = http.encode_request(
-            "GET", f"/board/poll?watch={last}&linger={LONG_POLL_US // http.MS}", board.host, {}
-        )
+            self._count_unreadable(update)
+            self._revision = update.revision
+            new_updates.append(update)
+        if new_updates:
+            self._report(discovery.merge_updates(new_updates))
+
+    def _count_unreadable(self, update: discovery.EndpointListUpdate) -> None:
+        if not update.unreadable_count:
+            return
+        self.supervisor.counters.add("unreadable entries", update.unreadable_count)
+        self.supervisor.log.write("list", f"{update.unreadable_count} entries that can't be read")
+
+    async def _poll(self, pool: ConnectionPool, revision: int) -> None:
+        """One poll for what comes after `revision`, and a pause after one that has failed."""
+        began = self._clock.now()
+        events: discovery.WatchEvents | None = None
         try:
-            answer = await board.call(
-                await board.get(), request, LONG_POLL_US + http.CALL_TIMEOUT_US, MAX_POLL_US
-            )
-            if answer.status != 200:
-                raise CallBrokenError(f"status {answer.status}")
-            told = discovery.parse_watch_events(answer.body, self._deployment)
-            self.supervisor.counters.add("list polls")
+            events = await self._call(pool, revision)
         except (ConnectError, CallBrokenError, discovery.DiscoveryFormatError) as error:
-            board.clear()
+            pool.clear()
             self.supervisor.counters.add("list polls failed")
             self.supervisor.log.write("list", f"poll failed: {error!r}")
         except Exception as error:
             self.supervisor.failed(self.name, error)
-        if told is None:
+        if events is None:
             pause = began + self._deployment.connect_timeout - self._clock.now()
             await asyncio.sleep(max(0, pause) / US)
-        self.post(PollEnded(board, told))
+        self.post(PollEnded(pool, events))
+
+    async def _call(self, pool: ConnectionPool, revision: int) -> discovery.WatchEvents:
+        """Raises ConnectError, CallBrokenError or DiscoveryFormatError."""
+        target = f"/board/poll?watch={revision}&linger={LONG_POLL_US // http.MS}"
+        request = http.encode_request("GET", target, pool.host, {})
+        connection = await pool.get()
+        timeout = LONG_POLL_US + http.CALL_TIMEOUT_US
+        response = await pool.call(connection, request, timeout, MAX_POLL_US)
+        if response.status != http.OK:
+            raise CallBrokenError(f"status {response.status}")
+        events = discovery.parse_watch_events(response.body, self._deployment)
+        self.supervisor.counters.add("list polls")
+        return events
--- a/lotusstream/net/health_checks.py
+++ b/lotusstream/net/health_checks.py
@@ -117,7 +117,7 @@
         self.supervisor.counters.add("engines examined")
         try:
             connection = await Connection.open(
-                endpoint, self._connect, self._budget, http.MAX_PAGE_BYTES, ends_things=False
+                endpoint, self._connect, self._budget, http.MAX_PAGE_BYTES, may_use_reserve=False
             )
             try:
                 await connection.call(request, http.CALL_TIMEOUT_US)
--- a/lotusstream/protocol/http.py
+++ b/lotusstream/protocol/http.py
@@ -17,6 +17,7 @@
 ABANDONED_AFTER_US = 2000 * MS  # a query that has not been asked for
 DUPLICATE_RESPONSE_DELAY_US = 20 * MS  # an answer that comes twice comes again some milliseconds later
 CALL_TIMEOUT_US = ABANDONED_AFTER_US // 4  # with a call, so that others can still come in time
+OK = 200
 INTERNAL_SERVER_ERROR = 500  # to any call: it may have run, or is known there no longer
 DISCOVERY_LONG_POLL_US = 5000 * MS  # the longest that the board keeps a call
 DISCOVERY_PROPAGATION_US = 7000 * MS  # what is on the board counts as told
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -84,7 +84,7 @@
     budget = SocketBudget(8)
     monkeypatch.setattr(*places[call])
     with pytest.raises(ConnectError) as caught:
-        await Connection.open(("127.0.0.1", 9), 250_000, budget, 1 << 10, ends_things=False)
+        await Connection.open(("127.0.0.1", 9), 250_000, budget, 1 << 10, may_use_reserve=False)
     assert not isinstance(caught.value, NoDescriptorError) and budget.used == 0
 
 
--- a/tests/scale/test_long_lists.py
+++ b/tests/scale/test_long_lists.py
@@ -46,7 +46,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     endpoint = server.sockets[0].getsockname()[:2]
-    connection = await Connection.open(endpoint, 250_000, SocketBudget(8), 1 << 20, ends_things=False)
+    connection = await Connection.open(endpoint, 250_000, SocketBudget(8), 1 << 20, may_use_reserve=False)
     answer = await connection.call(b"GET / HTTP/1.1\r\n\r\n", 300_000, 10_000_000)
     assert answer.status == 200
     connection.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -145,7 +145,7 @@
         budget.acquire(False)
     budget.acquire(True)
     with pytest.raises(NoDescriptorError):
-        await Connection.open(("127.0.0.1", 1), 1000, budget, 0, ends_things=True)
+        await Connection.open(("127.0.0.1", 1), 1000, budget, 0, may_use_reserve=True)
 
 
 async def test_a_message_that_crosses_the_close_of_an_idle_connection_is_not_taken(
