--- a/lotusstream/net/configuration.py
+++ b/lotusstream/net/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway: the configuration file."""
+"""The configuration file, by which the platform configures a gateway."""
 
 from __future__ import annotations
 
@@ -8,47 +8,58 @@
 
 from lotusstream.deployment import Deployment, SettingsError, read_settings
 from lotusstream.net.connection import Address
+from lotusstream.net.errors import NetError
 from lotusstream.protocol import discovery
 
+SEED_COUNT = 2**64
 
-class ConfigurationError(Exception):
-    """One line that says what is wrong."""
+
+class ConfigurationError(NetError):
+    """The configuration can't be used. One line that says what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    name: str
-    listen: Address
+    """What the configuration file gives."""
+
+    name: str  # of this gateway
+    listen: Address  # for clients
     discovery_address: Address
-    cores: float
-    descriptors: int
-    memory: int
+    cores: float  # that the gateway may use
+    descriptors: int  # that the gateway may have open
+    memory: int  # bytes
     deployment: Deployment
-    initial_events: discovery.WatchEvents
+    initial_events: discovery.WatchEvents  # of the endpoint list, as known at the start
 
 
 def read_configuration(text: str) -> Configuration:
+    """Reads the file's text. Raises ConfigurationError."""
     try:
-        raw: dict[str, Any] = json.loads(text)
-        listen, board = (discovery.parse_endpoint(raw[name]) for name in ("listen", "board"))
-        if listen is None or board is None:
-            raise ConfigurationError("configuration: 'listen' and 'board' are to be host:port")
-        deployment = read_settings(int(raw["seed"], 16) % 2**64, raw["settings"])
-        if not deployment.profiles:
-            raise ConfigurationError("configuration: no profile in the settings")
-        return Configuration(
-            name=str(raw["name"]),
-            listen=listen,
-            discovery_address=board,
-            cores=float(raw["limits"].get("cores", 1.0)),
-            descriptors=int(raw["limits"]["sockets"]),
-            memory=int(raw["limits"]["memory_mb"]) << 20,
-            deployment=deployment,
-            initial_events=discovery.decode_watch_events(raw["known"], deployment),
-        )
+        return _read(json.loads(text))
     except KeyError as error:
         raise ConfigurationError(f"configuration: {error} is missing") from error
     except (ValueError, TypeError, AttributeError, RecursionError) as error:
         raise ConfigurationError(f"configuration: {error}") from error
     except (SettingsError, discovery.DiscoveryFormatError) as error:
         raise ConfigurationError(f"configuration: {error}") from error
+
+
+def _read(raw: dict[str, Any]) -> Configuration:
+    listen = discovery.parse_endpoint(raw["listen"])
+    discovery_address = discovery.parse_endpoint(raw["board"])
+    if listen is None or discovery_address is None:
+        raise ConfigurationError("configuration: 'listen' and 'board' are to be host:port")
+    seed = int(raw["seed"], 16) % SEED_COUNT
+    deployment = read_settings(seed, raw["settings"])
+    if not deployment.profiles:
+        raise ConfigurationError("configuration: no profile in the settings")
+    return Configuration(
+        name=str(raw["name"]),
+        listen=listen,
+        discovery_address=discovery_address,
+        cores=float(raw["limits"].get("cores", 1.0)),
+        descriptors=int(raw["limits"]["sockets"]),
+        memory=int(raw["limits"]["memory_mb"]) << 20,
+        deployment=deployment,
+        initial_events=discovery.decode_watch_events(raw["known"], deployment),
+    )
