--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -21,8 +21,8 @@
 from benchmarks.planted_copies import PLANTED, caught
 from lotusstream.copies import messages as ms
 from lotusstream.copies import replica as rp
-from lotusstream.copies.messages import Held, Holding
-from lotusstream.copies.shards import SHARDS, shard_of
+from lotusstream.copies.messages import IdempotencyRecord, RecordState
+from lotusstream.copies.shards import DEFAULT_SHARD_COUNT, shard_of
 from lotusstream.lab.copies import play
 from lotusstream.lab.fleet.clients import Customers, Told
 from lotusstream.lab.fleet.idempotency_client import Keeping
@@ -30,7 +30,7 @@
 from lotusstream.lab.fleet.run import KEEPS, QUICK
 from lotusstream.lab.fleet.run import SHARDS as SHARDS_THERE
 from lotusstream.lab.world import Broken
-from lotusstream.net.copies import CopyStore
+from lotusstream.net.copies import ReplicaStore
 
 SIDE_BY_SIDE = 3  # fleets at once, of five gateways each
 PARTS = 20
@@ -155,25 +155,29 @@
         with open("/proc/self/statm", encoding="ascii") as file:
             return int(file.read().split()[1]) * resource.getpagesize() / (1 << 20)
 
-    store = CopyStore(folder, "g1")
+    store = ReplicaStore(folder, "g1")
     before, until = resident(), time.time_ns() // 1000 + 600_000_000
     batch = 1000
     for first in range(0, keys, batch):
         records = []
         for at in range(first, min(first + batch, keys)):
             key = f"{at:032x}"
-            op = ms.Op(
-                1, at + 1, Holding(key, "p" * 32, Held.ANSWERED, "g1.0123456789ab/1/1", until, b"x" * 60)
+            op = ms.Operation(
+                1,
+                at + 1,
+                IdempotencyRecord(
+                    key, "p" * 32, RecordState.ANSWERED, "g1.0123456789ab/1/1", until, b"x" * 60
+                ),
             )
-            records.append(ms.KeptOp(shard_of(key, SHARDS), op))
-        store.write([rp.Save(first, tuple(records))], None)
+            records.append(ms.OperationLogRecord(shard_of(key, DEFAULT_SHARD_COUNT), op))
+        store.write([rp.PersistLogRecords(first, tuple(records))], None)
     size = os.path.getsize(os.path.join(folder, "copies.log"))
     store.close()
     del store
     began = time.monotonic()
-    again = CopyStore(folder, "g1")
+    again = ReplicaStore(folder, "g1")
     took = time.monotonic() - began
-    told.send((size / keys, took, resident() - before, sum(len(s.holdings) for s in again.shards.values())))
+    told.send((size / keys, took, resident() - before, sum(len(s.records) for s in again.shards.values())))
     again.close()
 
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -27,7 +27,7 @@
 from lotusstream.leases.granter import LeaseTerms
 from lotusstream.leases.table import Acquire, encode_wish
 from lotusstream.net.actor import Supervisor
-from lotusstream.wal.log import Log
+from lotusstream.wal.log import WriteAheadLog
 
 US = 1_000_000
 LEASE = 2.0  # seconds, on the rig
@@ -167,7 +167,7 @@
     rates = {}
     for batch in (1, 50):
         with tempfile.TemporaryDirectory() as folder:
-            log = Log(f"{folder}/log").open()
+            log = WriteAheadLog(f"{folder}/log").open()
             began = time.monotonic()
             for at in range(0, entries, batch):
                 log.append(*payloads[at : at + batch])
--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -10,31 +10,31 @@
 
 from lotusstream.copies import idempotency as cl
 from lotusstream.copies import messages as ms
-from lotusstream.copies.idempotency import Claims
-from lotusstream.copies.replica import ReplicaSet, Shard
+from lotusstream.copies.idempotency import ClaimCoordinator
+from lotusstream.copies.replica import ReplicaSet, ShardReplica
 from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shards import shard_of
-from lotusstream.lab.copies import CopyScene, CopyWorld, play
+from lotusstream.lab.copies import ReplicationScenario, ReplicationWorld, play
 from lotusstream.lab.world import Broken
 
-SCENE = CopyScene()
+SCENE = ReplicationScenario()
 
 
 @dataclass(frozen=True, slots=True)
-class Planted:
+class PlantedDefect:
     name: str
     breaks: Callable[[], contextlib.AbstractContextManager[Any]]
-    scene: CopyScene = SCENE
+    scene: ReplicationScenario = SCENE
 
 
 def _one_disk_is_enough() -> Any:
     """Promised once the home's own disk has it."""
     drive = ReplicaSet._drive
 
-    def hasty(self: ReplicaSet, shard: Shard) -> None:
-        copied, shard.copied = shard.copied, dict.fromkeys(shard.copies(), 1 << 60)
+    def hasty(self: ReplicaSet, shard: ShardReplica) -> None:
+        copied, shard.acknowledged = shard.acknowledged, dict.fromkeys(shard.followers(), 1 << 60)
         drive(self, shard)
-        shard.copied = copied
+        shard.acknowledged = copied
 
     return mock.patch.object(ReplicaSet, "_drive", hasty)
 
@@ -51,45 +51,45 @@
 
 def _no_lease() -> Any:
     """A home that is cut off goes on as one."""
-    return mock.patch.object(ReplicaSet, "leased", property(lambda self: True))
+    return mock.patch.object(ReplicaSet, "has_lease", property(lambda self: True))
 
 
 def _joining_counts_at_once() -> Any:
     """A disk that is being filled may become the home."""
     mend = ShardController._mend
 
-    def eager(self: ShardController, now: int, known: ms.Assigned, out: Any) -> bool:
+    def eager(self: ShardController, now: int, known: ms.ShardAssignment, out: Any) -> bool:
         whole = replace_assigned(known)
         return mend(self, now, whole, out)
 
     return mock.patch.object(ShardController, "_mend", eager)
 
 
-def replace_assigned(known: ms.Assigned) -> ms.Assigned:
+def replace_assigned(known: ms.ShardAssignment) -> ms.ShardAssignment:
     backups = (*known.backups, *known.joining)
-    return ms.Assigned(known.shard, known.epoch, known.home, known.session, backups)
+    return ms.ShardAssignment(known.shard, known.epoch, known.primary, known.session, backups)
 
 
 def _wiped_disk_counts() -> Any:
     """A lost disk comes back empty under its old name."""
 
-    def lose(self: CopyWorld) -> None:
+    def lose(self: ReplicationWorld) -> None:
         node = self.draw.choice(list(self.gateways.values()))
         self.down(node)
         node.disk = type(node.disk)()
         self.back(node, 200_000)
 
-    return mock.patch.object(CopyWorld, "_fault_lose", lose)
+    return mock.patch.object(ReplicationWorld, "_fault_lose", lose)
 
 
 def _unpromised_is_told() -> Any:
     """Whoever asks hears of a change that is not on all disks yet."""
     able = ReplicaSet._able
 
-    def open_to_all(self: ReplicaSet, ticket: int, key: str) -> Shard | None:
+    def open_to_all(self: ReplicaSet, ticket: int, key: str) -> ShardReplica | None:
         shard = able(self, ticket, key)
         if shard is not None:
-            shard.open_keys.pop(key, None)
+            shard.uncommitted_keys.pop(key, None)
         return shard
 
     return mock.patch.object(ReplicaSet, "_able", open_to_all)
@@ -99,83 +99,85 @@
     """A copy is taken for whole whatever it lacks."""
     fill = ReplicaSet._fill
 
-    def stale(self: ReplicaSet, shard: Shard, to: Any, stand: ms.Stand) -> None:
+    def stale(self: ReplicaSet, shard: ShardReplica, to: Any, stand: ms.PositionReply) -> None:
         fill(self, shard, to, stand)
-        shard.copied[to] = shard.last[1]
+        shard.acknowledged[to] = shard.position[1]
 
     return mock.patch.object(ReplicaSet, "_fill", stale)
 
 
 def _sent_before_the_promise() -> Any:
     """A send leaves with its claim on the way."""
-    claim = Claims._claim
+    claim = ClaimCoordinator._claim
 
-    def hasty(self: Claims, kept: Any, after: str, since: int) -> None:
+    def hasty(self: ClaimCoordinator, kept: Any, after: str, since: int) -> None:
         claim(self, kept, after, since)
         kept.mine = kept.wanted
         if kept.waits is not None:
             self._let_go(kept)
 
-    return mock.patch.object(Claims, "_claim", hasty)
+    return mock.patch.object(ClaimCoordinator, "_claim", hasty)
 
 
 def _answered_before_it_is_held() -> Any:
-    answered = Claims._answered
+    answered = ClaimCoordinator._answered
 
-    def hasty(self: Claims, command: int, answer: bytes, by: int) -> None:
+    def hasty(self: ClaimCoordinator, command: int, answer: bytes, by: int) -> None:
         answered(self, command, answer, by)
-        self._out.append(cl.Give(command, answer))
+        self._out.append(cl.DeliverAnswer(command, answer))
 
-    return mock.patch.object(Claims, "_answered", hasty)
+    return mock.patch.object(ClaimCoordinator, "_answered", hasty)
 
 
 def _a_repeat_is_new() -> Any:
     """Taken over without a word to the module: sent wherever it was to go."""
-    known = Claims._known
+    known = ClaimCoordinator._known
 
-    def blind(self: Claims, kept: Any, holding: ms.Holding) -> None:
-        if kept.step is cl.Step.CLAIM and holding.state is ms.Held.SENT:
-            self._claim(kept, holding.gateway, holding.since)
+    def blind(self: ClaimCoordinator, kept: Any, holding: ms.IdempotencyRecord) -> None:
+        if kept.step is cl.ClaimPhase.CLAIMING and holding.state is ms.RecordState.SENT:
+            self._claim(kept, holding.owner, holding.executing_since)
         else:
             known(self, kept, holding)
 
-    return mock.patch.object(Claims, "_known", blind)
+    return mock.patch.object(ClaimCoordinator, "_known", blind)
 
 
 def _moved_without_a_word() -> Any:
     """The claim goes on naming the place of the first send."""
-    leaves = Claims._leaves
+    leaves = ClaimCoordinator._leaves
 
-    def lazy(self: Claims, told: cl.Leaves) -> None:
-        kept = self._kept.get(told.command)
+    def lazy(self: ClaimCoordinator, told: cl.AttemptRequested) -> None:
+        kept = self._kept.get(told.request)
         if kept is not None and kept.mine is not None:
-            kept.told, kept.waits = told, told.send
+            kept.told, kept.waits = told, told.attempt
             self._let_go(kept)
         else:
             leaves(self, told)
 
-    return mock.patch.object(Claims, "_leaves", lazy)
+    return mock.patch.object(ClaimCoordinator, "_leaves", lazy)
 
 
 def _any_claim_takes_over() -> Any:
     """A home that does not compare before it sets."""
     claim = ReplicaSet._claim
 
-    def open_to_all(self: ReplicaSet, ticket: int, wanted: ms.Holding, unix: int, after: str) -> None:
-        number = shard_of(wanted.key, self._terms.shards)
-        known = self._shard(number).holdings.get(wanted.key)
-        claim(self, ticket, wanted, unix, known.gateway if known is not None else after)
+    def open_to_all(
+        self: ReplicaSet, ticket: int, wanted: ms.IdempotencyRecord, unix: int, after: str
+    ) -> None:
+        number = shard_of(wanted.key, self._terms.shard_count)
+        known = self._shard(number).records.get(wanted.key)
+        claim(self, ticket, wanted, unix, known.owner if known is not None else after)
 
     return mock.patch.object(ReplicaSet, "_claim", open_to_all)
 
 
 def _taken_back_though_it_ran() -> Any:
-    over = Claims._over
+    over = ClaimCoordinator._over
 
-    def careless(self: Claims, told: cl.Over) -> None:
-        over(self, replace(told, ran=False, out=frozenset()))
+    def careless(self: ClaimCoordinator, told: cl.RequestEnded) -> None:
+        over(self, replace(told, may_have_executed=False, unfinished_attempts=frozenset()))
 
-    return mock.patch.object(Claims, "_over", careless)
+    return mock.patch.object(ClaimCoordinator, "_over", careless)
 
 
 HARD = replace(SCENE, faults=("lose", "lose", "crash", "cut"), fault_every=500_000)
@@ -190,27 +192,27 @@
 )  # fmt: skip
 AGAIN = replace(SCENE, repeat=0.7, patience=700_000, unrun=0.4, clients=6)
 PLANTED = (
-    Planted("a send leaves before its promise", _sent_before_the_promise, AGAIN),
-    Planted("an answer before it is held", _answered_before_it_is_held, AGAIN),
-    Planted("a repeat is taken for new", _a_repeat_is_new, AGAIN),
-    Planted("a claim that moves without a word", _moved_without_a_word, AGAIN),
-    Planted("a claim that takes over unasked", _any_claim_takes_over, AGAIN),
-    Planted("a claim taken back though it ran", _taken_back_though_it_ran, AGAIN),
-    Planted("promised on one disk", _one_disk_is_enough, HARD),
-    Planted("a copy answers before its disk", _before_its_own_disk, replace(POWER, sync=300_000)),
-    Planted("a home without a lease", _no_lease, CUTS),
-    Planted("a joining disk becomes home", _joining_counts_at_once, HARD),
-    Planted("a wiped disk counts", _wiped_disk_counts, HARD),
-    Planted("what may be lost is told", _unpromised_is_told, ASKED),
-    Planted(  # without the comparing of copies, which would find it in the end
+    PlantedDefect("a send leaves before its promise", _sent_before_the_promise, AGAIN),
+    PlantedDefect("an answer before it is held", _answered_before_it_is_held, AGAIN),
+    PlantedDefect("a repeat is taken for new", _a_repeat_is_new, AGAIN),
+    PlantedDefect("a claim that moves without a word", _moved_without_a_word, AGAIN),
+    PlantedDefect("a claim that takes over unasked", _any_claim_takes_over, AGAIN),
+    PlantedDefect("a claim taken back though it ran", _taken_back_though_it_ran, AGAIN),
+    PlantedDefect("promised on one disk", _one_disk_is_enough, HARD),
+    PlantedDefect("a copy answers before its disk", _before_its_own_disk, replace(POWER, sync=300_000)),
+    PlantedDefect("a home without a lease", _no_lease, CUTS),
+    PlantedDefect("a joining disk becomes home", _joining_counts_at_once, HARD),
+    PlantedDefect("a wiped disk counts", _wiped_disk_counts, HARD),
+    PlantedDefect("what may be lost is told", _unpromised_is_told, ASKED),
+    PlantedDefect(  # without the comparing of copies, which would find it in the end
         "a repair from what is behind",
         _repair_from_what_is_behind,
-        replace(HARD, loss=0.2, terms=replace(HARD.terms, scrub=0)),
+        replace(HARD, loss=0.2, terms=replace(HARD.terms, anti_entropy_interval=0)),
     ),
 )
 
 
-def caught(planted: Planted, seeds: int) -> tuple[int, str] | None:
+def caught(planted: PlantedDefect, seeds: int) -> tuple[int, str] | None:
     """The first seed that shows a broken promise, and what it says; not one that only never ends."""
     with planted.breaks():
         for seed in range(seeds):
--- a/lotusstream/cli/__init__.py
+++ b/lotusstream/cli/__init__.py
@@ -185,7 +185,8 @@
             holders = ", ".join(f"{each.name} ({each.machine}, {each.zone})" for each in file.fleet.holders)
             kept = file.fleet.remember
             told = f"remembered for {write_time(kept)}" if kept else "no gateway's commands (no 'remember')"
-            print(f"copies on {copies.copies} of {holders}; promised from {copies.promise} on; {told}")
+            commit_count = copies.commit_count
+            print(f"copies on {copies.replica_count} of {holders}; promised from {commit_count} on; {told}")
     if (file.ladder is not None or file.cells is not None) and not arguments.config:
         print("names of profiles, zones and kinds were not checked: give --config too")
     return 0
--- a/lotusstream/copies/idempotency.py
+++ b/lotusstream/copies/idempotency.py
@@ -15,167 +15,177 @@
 
 import msgspec
 
-from lotusstream.copies.messages import Held, Holding
-from lotusstream.copies.shards import Holder, placed, shard_of
+from lotusstream.copies.messages import IdempotencyRecord, RecordState
+from lotusstream.copies.shards import ReplicaHost, choose_hosts, shard_of
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimTerms:
+class ClaimOptions:
     """`patience`: microseconds for one answer of a home. `pause`: between two tries."""
 
-    shards: int
-    copies: int
-    patience: int
-    pause: int
+    shard_count: int
+    replica_count: int
+    reply_timeout: int
+    retry_pause: int
 
 
 @dataclass(frozen=True, slots=True)
-class Leaves:
+class AttemptRequested:
     """A send is to leave. `zone`, `cell`: where engines drop its repeats ("" and -1: wherever it goes).
     `since`, `until`: from when on it may run, and how long its key is remembered, of the Unix clock. `by`:
     the latest to be told. `again`: whether a command that may have run may be sent again at all."""
 
-    command: int
-    send: int
+    request: int
+    attempt: int
     key: str
-    print: str
+    request_digest: str
     zone: str
     cell: int
-    since: int
-    until: int
-    by: int
-    again: bool
+    executing_since: int
+    expires_at: int
+    deadline: int
+    may_retry: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Stays:
+class AttemptCancelled:
     """The send is not wanted any more; nothing follows where it has left already."""
 
-    command: int
-    send: int
+    request: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class EndpointAnswered:
     """An engine has answered; the client is to get it once it is held."""
 
-    command: int
+    request: int
     answer: bytes
-    by: int
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class RequestEnded:
     """The command needs no answer any more. `ran`: a send of this gateway may have run. `out`: those that
     have not ended. `by`: the latest for its claim to be taken back."""
 
-    command: int
-    ran: bool
-    out: frozenset[int]
-    by: int
+    request: int
+    may_have_executed: bool
+    unfinished_attempts: frozenset[int]
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class PrimaryReplied:
     """What a holder answered: promised, known, unkept or maybe. `home`: whom to ask, if it knows."""
 
     number: int
-    what: str
-    holding: Holding | None
-    why: str
-    home: str
+    outcome: str
+    record: IdempotencyRecord | None
+    reason: str
+    primary: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class ClaimTimeAdvanced:
     pass
 
 
-Event = Leaves | Stays | Answered | Over | Heard | Tick
+Event = (
+    AttemptRequested | AttemptCancelled | EndpointAnswered | RequestEnded | PrimaryReplied | ClaimTimeAdvanced
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendToPrimary:
     """Of a holder. `after`: the owner whose claim this one takes the place of."""
 
-    holder: str
+    host: str
     number: int
-    finish: bool
-    holding: Holding
-    after: str
+    completes: bool
+    record: IdempotencyRecord
+    previous_owner: str
 
 
 @dataclass(frozen=True, slots=True)
-class LetGo:
-    command: int
-    send: int
+class ReleaseAttempt:
+    request: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
+class ReturnAttempt:
     """The send has not left, and will not."""
 
-    command: int
-    send: int
+    request: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
+class ReportEarlierExecution:
     """Another gateway may have run it, there and since then; followed by Back."""
 
-    command: int
+    request: int
     zone: str
     cell: int
-    since: int
+    executing_since: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class AbandonRequest:
     """Nothing can be promised: the command is to be given up, and has not run here."""
 
-    command: int
-    why: str
+    request: int
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
+class DeliverAnswer:
     """The answer that every repeat gets."""
 
-    command: int
+    request: int
     answer: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Withhold:
+class WithholdAnswer:
     """Nothing that could be told again: failed. Either its answer is not held, or its key was used for
     another statement."""
 
-    command: int
-    why: str
+    request: int
+    reason: str
 
 
-Action = Ask | LetGo | Back | Recall | Refuse | Give | Withhold
+Action = (
+    SendToPrimary
+    | ReleaseAttempt
+    | ReturnAttempt
+    | ReportEarlierExecution
+    | AbandonRequest
+    | DeliverAnswer
+    | WithholdAnswer
+)
 
 
-class Step(Enum):
+class ClaimPhase(Enum):
     """What is being asked for."""
 
-    NOTHING = "nothing"
-    CLAIM = "claim"
-    FINISH = "finish"
-    FREE = "free"
+    IDLE = "nothing"
+    CLAIMING = "claim"
+    COMPLETING = "finish"
+    RELEASING = "free"
 
 
 @dataclass(slots=True)
-class _Kept:
+class _ClaimState:
     """One command. `mine`: its claim, once promised. `wanted`: what is being asked for."""
 
-    told: Leaves
-    step: Step = Step.NOTHING
-    mine: Holding | None = None
-    wanted: Holding | None = None
+    told: AttemptRequested
+    step: ClaimPhase = ClaimPhase.IDLE
+    mine: IdempotencyRecord | None = None
+    wanted: IdempotencyRecord | None = None
     after: str = ""
-    earlier: Holding | None = None  # another gateway's claim, that ours is to take the place of
+    earlier: IdempotencyRecord | None = None  # another gateway's claim, that ours is to take the place of
     foreign: bool = False  # another gateway may have run it
     waits: int | None = None  # the send that is held back
     number: int = 0
@@ -185,14 +195,14 @@
     by: int = 0
 
 
-class Claims:
+class ClaimCoordinator:
     """`session`: a name that no other run of any gateway has."""
 
-    def __init__(self, session: str, holders: Iterable[Holder], terms: ClaimTerms) -> None:
+    def __init__(self, session: str, holders: Iterable[ReplicaHost], terms: ClaimOptions) -> None:
         self._session, self._holders, self._terms = session, tuple(holders), terms
         self._homes: dict[int, str] = {}
         self._orders: dict[int, tuple[str, ...]] = {}  # by shard: whom to ask where the home is not known
-        self._kept: dict[int, _Kept] = {}
+        self._kept: dict[int, _ClaimState] = {}
         self._due: list[tuple[int, int]] = []  # when a command is to be looked at; what is over is passed by
         self._asked: dict[int, int] = {}  # by number: the command
         self._numbers = self._claims = 0
@@ -202,19 +212,19 @@
     def handle(self, now: int, event: Event) -> list[Action]:
         self._now, self._out = now, []
         match event:
-            case Leaves():
+            case AttemptRequested():
                 self._leaves(event)
-            case Stays(command, send):
+            case AttemptCancelled(command, send):
                 kept = self._kept.get(command)
                 if kept is not None and kept.waits == send:
                     self._back(kept)
-            case Answered(command, answer, by):
+            case EndpointAnswered(command, answer, by):
                 self._answered(command, answer, by)
-            case Over():
+            case RequestEnded():
                 self._over(event)
-            case Heard():
+            case PrimaryReplied():
                 self._heard(event)
-            case Tick():
+            case ClaimTimeAdvanced():
                 while self._due and self._due[0][0] <= now:
                     kept = self._kept.get(heapq.heappop(self._due)[1])
                     if kept is not None:
@@ -222,17 +232,17 @@
         return self._out
 
     @property
-    def next_at(self) -> int | None:
+    def next_timer_at(self) -> int | None:
         """When a Tick is due."""
         return self._due[0][0] if self._due else None
 
     # What this gateway wants
 
-    def _leaves(self, told: Leaves) -> None:
-        kept = self._kept.setdefault(told.command, _Kept(told))
+    def _leaves(self, told: AttemptRequested) -> None:
+        kept = self._kept.setdefault(told.request, _ClaimState(told))
         if kept.waits is not None:
             self._back(kept)
-        kept.told, kept.waits = told, told.send
+        kept.told, kept.waits = told, told.attempt
         mine, earlier = kept.mine, kept.earlier
         if mine is not None and (mine.zone, mine.cell) == (told.zone, told.cell):
             self._let_go(kept)
@@ -240,93 +250,105 @@
             self._refuse(kept, "it may have run elsewhere")
         else:
             base = earlier or kept.wanted or mine
-            self._claim(kept, base.gateway if base else "", base.since if base else told.since)
+            self._claim(
+                kept, base.owner if base else "", base.executing_since if base else told.executing_since
+            )
 
-    def _claim(self, kept: _Kept, after: str, since: int) -> None:
+    def _claim(self, kept: _ClaimState, after: str, since: int) -> None:
         told = kept.told
         self._claims += 1
-        owner = f"{self._session}/{told.command}/{self._claims}"
-        kept.wanted = Holding(
-            told.key, told.print, Held.SENT, owner, told.until, b"", told.zone, told.cell, since
+        owner = f"{self._session}/{told.request}/{self._claims}"
+        kept.wanted = IdempotencyRecord(
+            told.key,
+            told.request_digest,
+            RecordState.SENT,
+            owner,
+            told.expires_at,
+            b"",
+            told.zone,
+            told.cell,
+            since,
         )
-        kept.step, kept.after, kept.by = Step.CLAIM, after, told.by
+        kept.step, kept.after, kept.by = ClaimPhase.CLAIMING, after, told.deadline
         self._ask(kept)
 
-    def _let_go(self, kept: _Kept) -> None:
+    def _let_go(self, kept: _ClaimState) -> None:
         assert kept.waits is not None
-        kept.step = Step.NOTHING
-        self._out.append(LetGo(kept.told.command, kept.waits))
+        kept.step = ClaimPhase.IDLE
+        self._out.append(ReleaseAttempt(kept.told.request, kept.waits))
         kept.waits = None
 
-    def _back(self, kept: _Kept) -> None:
+    def _back(self, kept: _ClaimState) -> None:
         if kept.waits is not None:
-            self._out.append(Back(kept.told.command, kept.waits))
-            kept.waits, kept.step = None, Step.NOTHING
+            self._out.append(ReturnAttempt(kept.told.request, kept.waits))
+            kept.waits, kept.step = None, ClaimPhase.IDLE
 
-    def _refuse(self, kept: _Kept, why: str) -> None:
+    def _refuse(self, kept: _ClaimState, why: str) -> None:
         self._back(kept)
-        self._out.append(Refuse(kept.told.command, why))
+        self._out.append(AbandonRequest(kept.told.request, why))
 
     def _answered(self, command: int, answer: bytes, by: int) -> None:
         if (kept := self._kept.get(command)) is None or kept.mine is None:
-            self._out.append(Withhold(command, "its claim is not known any more"))
+            self._out.append(WithholdAnswer(command, "its claim is not known any more"))
             return
-        kept.step, kept.by, kept.after = Step.FINISH, by, ""
-        kept.wanted = msgspec.structs.replace(kept.mine, state=Held.ANSWERED, answer=answer)
+        kept.step, kept.by, kept.after = ClaimPhase.COMPLETING, by, ""
+        kept.wanted = msgspec.structs.replace(kept.mine, state=RecordState.ANSWERED, answer=answer)
         self._ask(kept)
 
-    def _over(self, told: Over) -> None:
-        kept = self._kept.get(told.command)
-        if kept is None or kept.step is Step.FINISH:
+    def _over(self, told: RequestEnded) -> None:
+        kept = self._kept.get(told.request)
+        if kept is None or kept.step is ClaimPhase.COMPLETING:
             return  # whoever asks again gets the answer though this client has left
-        left = any(send != kept.waits for send in told.out)
+        left = any(send != kept.waits for send in told.unfinished_attempts)
         self._back(kept)
         newest = kept.wanted or kept.mine
-        if told.ran or left or kept.foreign or newest is None:
+        if told.may_have_executed or left or kept.foreign or newest is None:
             self._forget(kept)
             return
-        kept.step, kept.by, kept.after = Step.FREE, told.by, newest.gateway
-        kept.wanted = msgspec.structs.replace(newest, state=Held.UNRUN)
+        kept.step, kept.by, kept.after = ClaimPhase.RELEASING, told.deadline, newest.owner
+        kept.wanted = msgspec.structs.replace(newest, state=RecordState.NOT_EXECUTED)
         self._ask(kept)
 
-    def _forget(self, kept: _Kept) -> None:
+    def _forget(self, kept: _ClaimState) -> None:
         self._asked.pop(kept.number, None)
-        self._kept.pop(kept.told.command, None)
+        self._kept.pop(kept.told.request, None)
 
     # Asking
 
-    def _ask(self, kept: _Kept) -> None:
+    def _ask(self, kept: _ClaimState) -> None:
         assert kept.wanted is not None
         self._asked.pop(kept.number, None)
         self._numbers += 1
         kept.number, kept.holder = self._numbers, self._whom(kept)
-        self._again_in(kept, self._terms.patience)
-        self._asked[kept.number] = kept.told.command
-        finish = kept.step is Step.FINISH
-        self._out.append(Ask(kept.holder, kept.number, finish, kept.wanted, kept.after))
+        self._again_in(kept, self._terms.reply_timeout)
+        self._asked[kept.number] = kept.told.request
+        finish = kept.step is ClaimPhase.COMPLETING
+        self._out.append(SendToPrimary(kept.holder, kept.number, finish, kept.wanted, kept.after))
 
-    def _whom(self, kept: _Kept) -> str:
+    def _whom(self, kept: _ClaimState) -> str:
         """The home, as far as is known; then those it would be given to, one after the other."""
-        shard = shard_of(kept.told.key, self._terms.shards)
+        shard = shard_of(kept.told.key, self._terms.shard_count)
         home = self._homes.get(shard, "")
         if home and home not in kept.skipped:
             return home
         if shard not in self._orders:
-            likely = [each.place.name for each in placed(shard, self._holders, self._terms.copies)]
-            self._orders[shard] = (*likely, *(each.place.name for each in self._holders))
+            likely = [
+                each.replica_id.name for each in choose_hosts(shard, self._holders, self._terms.replica_count)
+            ]
+            self._orders[shard] = (*likely, *(each.replica_id.name for each in self._holders))
         for name in self._orders[shard]:
             if name not in kept.skipped:
                 return name
         kept.skipped.clear()
         return home or self._orders[shard][0]
 
-    def _again_in(self, kept: _Kept, span: int) -> None:
+    def _again_in(self, kept: _ClaimState, span: int) -> None:
         """Nothing follows before then, or before its time is over, unless something is heard."""
         kept.again_at = self._now + span
-        heapq.heappush(self._due, (min(kept.again_at, kept.by), kept.told.command))
+        heapq.heappush(self._due, (min(kept.again_at, kept.by), kept.told.request))
 
-    def _look(self, kept: _Kept) -> None:
-        if kept.step is Step.NOTHING:
+    def _look(self, kept: _ClaimState) -> None:
+        if kept.step is ClaimPhase.IDLE:
             return
         if self._now >= kept.by:
             self._too_late(kept, "no home answers")
@@ -335,72 +357,74 @@
                 kept.skipped.append(kept.holder)
             self._ask(kept)
 
-    def _too_late(self, kept: _Kept, why: str) -> None:
+    def _too_late(self, kept: _ClaimState, why: str) -> None:
         match kept.step:
-            case Step.CLAIM:
-                kept.step = Step.NOTHING
+            case ClaimPhase.CLAIMING:
+                kept.step = ClaimPhase.IDLE
                 self._refuse(kept, why)
-            case Step.FINISH:
-                self._out.append(Withhold(kept.told.command, why))
+            case ClaimPhase.COMPLETING:
+                self._out.append(WithholdAnswer(kept.told.request, why))
                 self._forget(kept)
             case _:
                 self._forget(kept)
 
-    def _heard(self, heard: Heard) -> None:
+    def _heard(self, heard: PrimaryReplied) -> None:
         command = self._asked.pop(heard.number, None)
-        if command is None or (kept := self._kept.get(command)) is None or kept.step is Step.NOTHING:
+        if command is None or (kept := self._kept.get(command)) is None or kept.step is ClaimPhase.IDLE:
             return
-        if heard.home:
-            self._homes[shard_of(kept.told.key, self._terms.shards)] = heard.home
-        if heard.what == "promised":
+        if heard.primary:
+            self._homes[shard_of(kept.told.key, self._terms.shard_count)] = heard.primary
+        if heard.outcome == "promised":
             self._promised(kept)
-        elif heard.what == "known" and heard.holding is not None:
-            self._known(kept, heard.holding)
-        elif self._now + self._terms.pause >= kept.by:
-            self._too_late(kept, heard.why)
-        elif heard.home and heard.home != kept.holder:
-            kept.skipped = [each for each in kept.skipped if each != heard.home]
+        elif heard.outcome == "known" and heard.record is not None:
+            self._known(kept, heard.record)
+        elif self._now + self._terms.retry_pause >= kept.by:
+            self._too_late(kept, heard.reason)
+        elif heard.primary and heard.primary != kept.holder:
+            kept.skipped = [each for each in kept.skipped if each != heard.primary]
             self._ask(kept)
         else:
-            if not heard.home and heard.what == "unkept":
+            if not heard.primary and heard.outcome == "unkept":
                 kept.skipped.append(kept.holder)
-            self._again_in(kept, self._terms.pause)
+            self._again_in(kept, self._terms.retry_pause)
 
-    def _promised(self, kept: _Kept) -> None:
+    def _promised(self, kept: _ClaimState) -> None:
         match kept.step:
-            case Step.CLAIM:
+            case ClaimPhase.CLAIMING:
                 kept.mine, kept.wanted, kept.earlier = kept.wanted, None, None
                 if kept.waits is not None:
                     self._let_go(kept)
-                kept.step = Step.NOTHING
-            case Step.FINISH:
+                kept.step = ClaimPhase.IDLE
+            case ClaimPhase.COMPLETING:
                 assert kept.wanted is not None
-                self._out.append(Give(kept.told.command, kept.wanted.answer))
+                self._out.append(DeliverAnswer(kept.told.request, kept.wanted.answer))
                 self._forget(kept)
             case _:
                 self._forget(kept)
 
-    def _known(self, kept: _Kept, known: Holding) -> None:
+    def _known(self, kept: _ClaimState, known: IdempotencyRecord) -> None:
         told = kept.told
-        ours = known.gateway.startswith(f"{self._session}/{told.command}/")
-        if kept.step is Step.FREE:
+        ours = known.owner.startswith(f"{self._session}/{told.request}/")
+        if kept.step is ClaimPhase.RELEASING:
             self._forget(kept)
-        elif known.print != told.print:
+        elif known.request_digest != told.request_digest:
             self._back(kept)
-            self._out.append(Withhold(told.command, "its mark was used for another statement"))
+            self._out.append(WithholdAnswer(told.request, "its mark was used for another statement"))
             self._forget(kept)
-        elif known.state is Held.ANSWERED:
+        elif known.state is RecordState.ANSWERED:
             self._back(kept)
-            self._out.append(Give(told.command, known.answer))
+            self._out.append(DeliverAnswer(told.request, known.answer))
             self._forget(kept)
         elif ours:  # a claim before this one, whose answer was lost
-            self._claim(kept, known.gateway, known.since)
+            self._claim(kept, known.owner, known.executing_since)
         elif kept.earlier is not None and (known.zone, known.cell) == (told.zone, told.cell):
             kept.earlier = known  # a third one was quicker, in the same place
-            self._claim(kept, known.gateway, known.since)
-        elif not told.again and self._now + self._terms.pause < told.by:
-            self._again_in(kept, self._terms.pause)  # it may be answered any moment
+            self._claim(kept, known.owner, known.executing_since)
+        elif not told.may_retry and self._now + self._terms.retry_pause < told.deadline:
+            self._again_in(kept, self._terms.retry_pause)  # it may be answered any moment
         else:
             kept.earlier, kept.mine, kept.foreign = known, None, True
-            self._out.append(Recall(told.command, known.zone, known.cell, known.since))
+            self._out.append(
+                ReportEarlierExecution(told.request, known.zone, known.cell, known.executing_since)
+            )
             self._back(kept)
--- a/lotusstream/copies/messages.py
+++ b/lotusstream/copies/messages.py
@@ -7,129 +7,131 @@
 
 import msgspec
 
-from lotusstream.copies.shards import Place
+from lotusstream.copies.shards import ReplicaId
 
 
-class Held(IntEnum):
+class RecordState(IntEnum):
     SENT = 1  # a gateway was to send it: it may have run
     ANSWERED = 2
-    UNRUN = 3  # its gateway gave it up, and nothing had left
+    NOT_EXECUTED = 3  # its gateway gave it up, and nothing had left
 
 
-class Holding(msgspec.Struct, frozen=True, array_like=True):
+class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is known of one key. `print`: of its statement; `gateway`: who sent it. `until`: microseconds of
     the Unix clock, from when on it is as if never seen. `since`: from when on it may have run. `zone` and
     `cell`: of the engines that drop its repeats, as far as that matters."""
 
     key: str
-    print: str
-    state: Held
-    gateway: str
-    until: int
+    request_digest: str
+    state: RecordState
+    owner: str
+    expires_at: int
     answer: bytes = b""
     zone: str = ""
     cell: int = -1
-    since: int = 0
+    executing_since: int = 0
 
 
-class Op(msgspec.Struct, frozen=True, array_like=True):
+class Operation(msgspec.Struct, frozen=True, array_like=True):
     """One change of one shard. `epoch`: in which it was made."""
 
     epoch: int
-    seq: int
-    holding: Holding
+    sequence: int
+    record: IdempotencyRecord
 
 
-class Assigned(msgspec.Struct, frozen=True, array_like=True):
+class ShardAssignment(msgspec.Struct, frozen=True, array_like=True):
     """Who holds a shard in an epoch, as agreed in the quorum. `session`: the run of the home's program that
     may act. `joining` get everything and count for nothing yet."""
 
     shard: int
     epoch: int
-    home: Place
+    primary: ReplicaId
     session: str
-    backups: tuple[Place, ...] = ()
-    joining: tuple[Place, ...] = ()
+    backups: tuple[ReplicaId, ...] = ()
+    joining: tuple[ReplicaId, ...] = ()
 
     @property
-    def all(self) -> tuple[Place, ...]:
-        return (self.home, *self.backups, *self.joining)
+    def members(self) -> tuple[ReplicaId, ...]:
+        return (self.primary, *self.backups, *self.joining)
 
 
 # Written down
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+class TaggedLogRecord(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
     pass
 
 
-class KeptOp(Kept, frozen=True, tag="op"):
+class OperationLogRecord(TaggedLogRecord, frozen=True, tag="op"):
     shard: int
-    op: Op
+    operation: Operation
 
 
-class KeptWhole(Kept, frozen=True, tag="whole"):
+class SnapshotLogRecord(TaggedLogRecord, frozen=True, tag="whole"):
     """A shard in place of all that was known of it, once its last part is there. `part`: from 0 on; `parts`:
     how many there are."""
 
     shard: int
     epoch: int
-    seq: int
-    holdings: tuple[Holding, ...]
+    sequence: int
+    records: tuple[IdempotencyRecord, ...]
     part: int = 0
-    parts: int = 1
+    part_count: int = 1
 
 
-Record = KeptOp | KeptWhole
+LogRecord = OperationLogRecord | SnapshotLogRecord
 
 
-def size_of(holding: Holding) -> int:
+def estimated_bytes(holding: IdempotencyRecord) -> int:
     """About so many bytes on a line or a disk."""
-    told = holding.key, holding.print, holding.gateway, holding.answer
+    told = holding.key, holding.request_digest, holding.owner, holding.answer
     return 64 + sum(map(len, told))
 
 
-def in_parts(holdings: Iterable[Holding], most: int) -> list[tuple[Holding, ...]]:
+def split_into_parts(holdings: Iterable[IdempotencyRecord], most: int) -> list[tuple[IdempotencyRecord, ...]]:
     """One at least. Each of `most` bytes or a little more: frames and records are bounded."""
-    parts, part, size = list[tuple[Holding, ...]](), list[Holding](), 0
+    parts, part, size = list[tuple[IdempotencyRecord, ...]](), list[IdempotencyRecord](), 0
     for each in holdings:
         part.append(each)
-        size += size_of(each)
+        size += estimated_bytes(each)
         if size >= most:
             parts.append(tuple(part))
             part, size = [], 0
     return [*parts, tuple(part)] if part or not parts else parts
 
 
-def kept_whole(shard: int, last: tuple[int, int], holdings: Iterable[Holding], most: int) -> list[KeptWhole]:
-    parts = in_parts(holdings, most)
-    return [KeptWhole(shard, *last, part, at, len(parts)) for at, part in enumerate(parts)]
+def snapshot_log_records(
+    shard: int, last: tuple[int, int], holdings: Iterable[IdempotencyRecord], most: int
+) -> list[SnapshotLogRecord]:
+    parts = split_into_parts(holdings, most)
+    return [SnapshotLogRecord(shard, *last, part, at, len(parts)) for at, part in enumerate(parts)]
 
 
 # Told
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+class TaggedMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
     pass
 
 
-class Begin(Word, frozen=True, tag="begin"):
+class PositionRequest(TaggedMessage, frozen=True, tag="begin"):
     """The home of an epoch asks where a copy stands."""
 
-    assigned: Assigned
+    assignment: ShardAssignment
 
 
-class Stand(Word, frozen=True, tag="stand"):
+class PositionReply(TaggedMessage, frozen=True, tag="stand"):
     """The copy's last change. `session`: of this run of the copy."""
 
     shard: int
     epoch: int
     session: str
     last_epoch: int
-    last_seq: int
+    last_sequence: int
 
 
-class Fill(Word, frozen=True, tag="fill"):
+class CatchUpData(TaggedMessage, frozen=True, tag="fill"):
     """Everything, in place of what the copy has, one part after the other; or, with `after`, changes that
     follow that one. `begun`: tells one filling from another."""
 
@@ -137,15 +139,15 @@
     epoch: int
     after: int
     last_epoch: int
-    last_seq: int
-    holdings: tuple[Holding, ...] = ()
-    ops: tuple[Op, ...] = ()
+    last_sequence: int
+    records: tuple[IdempotencyRecord, ...] = ()
+    operations: tuple[Operation, ...] = ()
     part: int = 0
-    parts: int = 1
-    begun: int = 0
+    part_count: int = 1
+    started_at: int = 0
 
 
-class Filled(Word, frozen=True, tag="filled"):
+class CatchUpPartAck(TaggedMessage, frozen=True, tag="filled"):
     """The copy has this part, not on its disk yet: the next one may come."""
 
     shard: int
@@ -154,45 +156,55 @@
     part: int
 
 
-class Copy(Word, frozen=True, tag="copy"):
+class Replicate(TaggedMessage, frozen=True, tag="copy"):
     shard: int
     epoch: int
-    op: Op
+    operation: Operation
 
 
-class Copied(Word, frozen=True, tag="copied"):
+class ReplicateAck(TaggedMessage, frozen=True, tag="copied"):
     """On the disk of the copy, up to this change."""
 
     shard: int
     epoch: int
     session: str
-    seq: int
+    sequence: int
 
 
-class Deposed(Word, frozen=True, tag="deposed"):
+class StaleEpoch(TaggedMessage, frozen=True, tag="deposed"):
     """There is a later epoch than the one that speaks."""
 
     shard: int
     epoch: int
 
 
-class Compare(Word, frozen=True, tag="compare"):
+class DigestRequest(TaggedMessage, frozen=True, tag="compare"):
     """A copy that stands there too is asked for its sum of this range, of what is kept after `kept_after`."""
 
     shard: int
     epoch: int
-    seq: int
-    range: int
-    kept_after: int
+    sequence: int
+    key_range: int
+    expires_after: int
 
 
-class Compared(Word, frozen=True, tag="compared"):
+class DigestReply(TaggedMessage, frozen=True, tag="compared"):
     shard: int
     epoch: int
     session: str
-    seq: int
-    range: int
-    sum: bytes
-
-
-AnyWord = Begin | Stand | Fill | Filled | Copy | Copied | Deposed | Compare | Compared
+    sequence: int
+    key_range: int
+    digest: bytes
+
+
+ReplicaMessage = (
+    PositionRequest
+    | PositionReply
+    | CatchUpData
+    | CatchUpPartAck
+    | Replicate
+    | ReplicateAck
+    | StaleEpoch
+    | DigestRequest
+    | DigestReply
+)
--- a/lotusstream/copies/shards.py
+++ b/lotusstream/copies/shards.py
@@ -7,39 +7,41 @@
 
 import msgspec
 
-SHARDS = 64
+DEFAULT_SHARD_COUNT = 64
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True, order=True):
+class ReplicaId(msgspec.Struct, frozen=True, array_like=True, order=True):
     """A holder is its disk: the same name on another disk is another holder, and has nothing."""
 
     name: str
     disk: str
 
 
-class Holder(msgspec.Struct, frozen=True, array_like=True):
-    place: Place
+class ReplicaHost(msgspec.Struct, frozen=True, array_like=True):
+    replica_id: ReplicaId
     machine: str
     zone: str
 
 
-def shard_of(key: str, shards: int = SHARDS) -> int:
+def shard_of(key: str, shards: int = DEFAULT_SHARD_COUNT) -> int:
     return int.from_bytes(blake2b(key.encode(), digest_size=8).digest()) % shards
 
 
-def _weight(shard: int, holder: Holder) -> int:
+def _rendezvous_weight(shard: int, holder: ReplicaHost) -> int:
     """By name, not by disk: a holder that comes back on a new disk gets what it had."""
-    told = f"{shard}/{holder.place.name}".encode()
+    told = f"{shard}/{holder.replica_id.name}".encode()
     return int.from_bytes(blake2b(told, digest_size=8).digest())
 
 
-def placed(shard: int, holders: Iterable[Holder], count: int, among: Iterable[Holder] = ()) -> list[Holder]:
+def choose_hosts(
+    shard: int, holders: Iterable[ReplicaHost], count: int, among: Iterable[ReplicaHost] = ()
+) -> list[ReplicaHost]:
     """Those to take in beside `among`, so that there are `count`: never two on one machine, and in as many
     zones as can be. Rendezvous hashing (Thaler and Ravishankar 1998): few shards move as holders come and go.
     """
     taken = list(among)
-    found = list[Holder]()
-    left = sorted(holders, key=lambda each: (-_weight(shard, each), each.place))
+    found = list[ReplicaHost]()
+    left = sorted(holders, key=lambda each: (-_rendezvous_weight(shard, each), each.replica_id))
     while len(taken) < count:
         machines = {each.machine for each in taken}
         zones = {each.zone for each in taken}
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -14,23 +14,30 @@
 from lotusstream.copies import messages as ms
 from lotusstream.copies import replica as rp
 from lotusstream.copies import shard_controller as mg
-from lotusstream.copies.anti_entropy import RANGES
-from lotusstream.copies.messages import Assigned
-from lotusstream.copies.replica import ReplicaSet, read_back
-from lotusstream.copies.shard_controller import CopyTerms, ShardController
-from lotusstream.copies.shards import Holder, Place
+from lotusstream.copies.anti_entropy import RANGE_COUNT
+from lotusstream.copies.messages import ShardAssignment
+from lotusstream.copies.replica import ReplicaSet, recover_shards
+from lotusstream.copies.shard_controller import ReplicationOptions, ShardController
+from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.lab.world import MS, Node, S, Span, World
 from lotusstream.leases.granter import LeaseTerms
 
-FAILED = b"may have run"
-ONCE = "once"  # the end of keys whose commands may run once only
-TERMS = CopyTerms(
-    3, 2, LeaseTerms(1 * S, 125 * MS, 0.05), 2, 4, 300, rate=100_000, scrub=4 * RANGES * 100 * MS
-)  # fmt: skip
+FAILED_ANSWER = b"may have run"
+ONCE_KEY_SUFFIX = "once"  # the end of keys whose commands may run once only
+OPTIONS = ReplicationOptions(
+    replica_count=3,
+    commit_count=2,
+    leases=LeaseTerms(1 * S, 125 * MS, 0.05),
+    max_catch_ups=2,
+    shard_count=4,
+    part_bytes=300,
+    catch_up_bytes_per_s=100_000,
+    anti_entropy_interval=4 * RANGE_COUNT * 100 * MS,
+)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CopyScene(Span):
+class ReplicationScenario(Span):
     """`retention`: how long a key is remembered. `places`: zones of engines, each of which drops repeats for
     `window`; of `once` commands they drop none. `unrun`, `mute`: the shares of sends that provably did not
     run, and that ran though nothing was heard of them. `work`: how long one takes at most."""
@@ -40,7 +47,7 @@
     gateways: int = 5
     zones: int = 3
     clients: int = 4
-    terms: CopyTerms = TERMS
+    terms: ReplicationOptions = OPTIONS
     retention: int = 60 * S
     places: int = 2
     window: int = 6 * S
@@ -66,42 +73,42 @@
 
 
 @dataclass(slots=True)
-class Disk:
-    synced: list[ms.Record] = field(default_factory=list)
-    writing: list[rp.Save] = field(default_factory=list)
+class SimulatedDisk:
+    synced: list[ms.LogRecord] = field(default_factory=list)
+    writing: list[rp.PersistLogRecords] = field(default_factory=list)
 
 
 class GatewayNode(Node):
-    def __init__(self, name: str, world: CopyWorld) -> None:
+    def __init__(self, name: str, world: ReplicationWorld) -> None:
         super().__init__(name, world.draw, world.scene.terms.leases.drift)
-        self.disk, self.disk_name = Disk(), ""
+        self.disk, self.disk_name = SimulatedDisk(), ""
         self.lied_until = 0  # until others have filled it anew
         self.replicas: ReplicaSet
-        self.holder: Holder
-        self.claims: cl.Claims
-        self.flows: dict[int, Flow] = {}
+        self.holder: ReplicaHost
+        self.claims: cl.ClaimCoordinator
+        self.flows: dict[int, SimulatedRequest] = {}
 
 
-class Flow:
+class SimulatedRequest:
     """One command at one gateway. `earlier`: where and since when another one may have run it."""
 
     def __init__(self, number: int, key: str, client: str, asked: int) -> None:
         self.number, self.key, self.client, self.asked = number, key, client, asked
         self.send = self.place = -1
         self.earlier: tuple[int, int] | None = None
-        self.once = key.endswith(ONCE)
+        self.once = key.endswith(ONCE_KEY_SUFFIX)
         self.ran = False
         self.out: set[int] = set()
 
 
 class ClientNode(Node):
-    def __init__(self, name: str, world: CopyWorld) -> None:
+    def __init__(self, name: str, world: ReplicationWorld) -> None:
         super().__init__(name, world.draw, 0.0)
         self.key, self.number, self.told, self.tries = "", 0, b"", 0
 
 
-class CopyJudge:
-    def __init__(self, world: CopyWorld) -> None:
+class ReplicationChecker:
+    def __init__(self, world: ReplicationWorld) -> None:
         self._world = world
         self.effects: dict[str, int] = {}
         self._said: dict[tuple[str, int], tuple[int, bytes]] = {}
@@ -114,7 +121,7 @@
         """Of an engine of this zone: a repeat that it remembers is dropped, and told the same."""
         world = self._world
         said = self._said.get((key, place))
-        if said is None or world.now > said[0] + world.scene.window or key.endswith(ONCE):
+        if said is None or world.now > said[0] + world.scene.window or key.endswith(ONCE_KEY_SUFFIX):
             self.effects[key] = self.effects.get(key, 0) + 1
             if self.effects[key] > 1:
                 world.fails(f"{key} took effect twice")
@@ -135,11 +142,11 @@
             self._world.fails(f"{key} was answered and is not known any more")
 
 
-class CopyWorld(World):
-    def __init__(self, seed: int, scene: CopyScene) -> None:
+class ReplicationWorld(World):
+    def __init__(self, seed: int, scene: ReplicationScenario) -> None:
         super().__init__(seed, scene)
-        self.scene, self.judge = scene, CopyJudge(self)
-        self.agreed: dict[int, Assigned] = {}
+        self.scene, self.judge = scene, ReplicationChecker(self)
+        self.agreed: dict[int, ShardAssignment] = {}
         self._disks = self._tickets = self._takes = 0
         self._asks: dict[int, tuple[GatewayNode, int, int]] = {}
         self.gateways = {f"g{at}": GatewayNode(f"g{at}", self) for at in range(scene.gateways)}
@@ -155,7 +162,7 @@
     def nodes(self) -> list[Node]:
         return [*self.gateways.values(), self.chief]
 
-    def run(self) -> CopyJudge:
+    def run(self) -> ReplicationChecker:
         self.play()
         if not any(client.number > 2 for client in self.clients.values()):
             self.fails("hardly a command was answered")
@@ -172,18 +179,20 @@
             if not node.disk_name:
                 self._disks += 1
                 node.disk_name = f"d{self._disks}"
-            place, at = Place(node.name, node.disk_name), int(node.name[1:])
-            node.holder = Holder(place, node.name, f"z{at % self.scene.zones}")
-            shards, now = read_back(node.disk.synced), node.clock(self.now)
+            place, at = ReplicaId(node.name, node.disk_name), int(node.name[1:])
+            node.holder = ReplicaHost(place, node.name, f"z{at % self.scene.zones}")
+            shards, now = recover_shards(node.disk.synced), node.clock(self.now)
             session = f"{node.disk_name}.{node.run}"
             node.replicas = ReplicaSet(place, session, self.scene.terms, shards, now)
             node.flows = {}
-            terms = cl.ClaimTerms(self.scene.terms.shards, self.scene.terms.copies, 300 * MS, 40 * MS)
+            terms = cl.ClaimOptions(
+                self.scene.terms.shard_count, self.scene.terms.replica_count, 300 * MS, 40 * MS
+            )
             holders = [
-                Holder(Place(f"g{at}", ""), f"g{at}", f"z{at % self.scene.zones}")
+                ReplicaHost(ReplicaId(f"g{at}", ""), f"g{at}", f"z{at % self.scene.zones}")
                 for at in range(self.scene.gateways)
             ]
-            node.claims = cl.Claims(session, holders, terms)
+            node.claims = cl.ClaimCoordinator(session, holders, terms)
             self._beat(node)
             self._tick(node)
         elif node is self.chief:
@@ -193,68 +202,68 @@
             self._next(node)
 
     def _tick(self, node: GatewayNode) -> None:
-        self._tell(node, rp.Tick(self.now))
-        self._claim(node, cl.Tick())
+        self._tell(node, rp.ReplicaTimeAdvanced(self.now))
+        self._claim(node, cl.ClaimTimeAdvanced())
         self.after(40 * MS, self._on(node, lambda: self._tick(node)))
 
     def _tell(self, node: GatewayNode, event: Any) -> None:
         for action in node.replicas.handle(node.clock(self.now), event):
             match action:
-                case rp.Save():
+                case rp.PersistLogRecords():
                     node.disk.writing.append(action)
                     span = self.draw.randint(MS, self.scene.sync)
                     self.after(span, self._on(node, self._syncing(node, action)))
-                case rp.Say(to, word):
+                case rp.SendReplicaMessage(to, word):
                     self._to_place(node, to, word)
-                case rp.Promised(ticket):
+                case rp.Committed(ticket):
                     self._outcome(node, ticket, "promised")
-                case rp.Known(ticket, holding):
+                case rp.AlreadyRecorded(ticket, holding):
                     self._outcome(node, ticket, "known", holding)
-                case rp.Unkept(ticket, why, home, maybe):
+                case rp.NotCommitted(ticket, why, home, maybe):
                     self._outcome(node, ticket, "maybe" if maybe else "unkept", None, why, home)
-                case rp.Differ(shard, filled, _):
+                case rp.ReportDivergence(shard, filled, _):
                     self.judge.differ += 1
                     if "flip" not in self.scene.faults:
                         self.fails(f"copies of shard {shard} differ, {filled} from {node.name}")
 
-    def _syncing(self, node: GatewayNode, save: rp.Save) -> Callable[[], None]:
+    def _syncing(self, node: GatewayNode, save: rp.PersistLogRecords) -> Callable[[], None]:
         def synced() -> None:
             while save in node.disk.writing:
                 node.disk.synced += node.disk.writing.pop(0).records
-            self._tell(node, rp.Persisted(save.number))
+            self._tell(node, rp.LogWritePersisted(save.write_number))
 
         return synced
 
-    def _to_place(self, source: GatewayNode, to: Place, word: ms.AnyWord) -> None:
-        target, place = self.gateways[to.name], source.holder.place
+    def _to_place(self, source: GatewayNode, to: ReplicaId, word: ms.ReplicaMessage) -> None:
+        target, place = self.gateways[to.name], source.holder.replica_id
 
         def arrive() -> None:
             if target.disk_name == to.disk:
-                self._tell(target, rp.Heard(place, word))
+                self._tell(target, rp.MessageReceived(place, word))
 
         self._deliver(source, target, arrive)
 
     # The manager, and beacons
 
     def _manage(self) -> None:
-        self._decide(mg.Tick())
+        self._decide(mg.ControllerTimeAdvanced())
         self.after(50 * MS, self._on(self.chief, self._manage))
 
     def _decide(self, event: Any, sent: int = 0) -> None:
         """`sent`: by its holder's clock, where it is a beacon."""
         for action in self.manager.handle(self.chief.clock(self.now), event):
             match action:
-                case mg.Propose(assigned):
+                case mg.ProposeAssignment(assigned):
                     manager = self.manager
                     self.after(self.draw.randint(5 * MS, 30 * MS), self._agreeing(manager, assigned))
-                case mg.LookUp():
+                case mg.LoadAssignments():
                     manager = self.manager
                     self.after(self.draw.randint(5 * MS, 30 * MS), self._finding(manager))
-                case mg.Answer(place, session, epochs):
+                case mg.GrantReplicaLease(place, session, epochs):
                     node = self.gateways[place.name]
                     self._deliver(self.chief, node, self._leasing(node, session, sent, epochs))
 
-    def _agreeing(self, manager: ShardController, assigned: Assigned) -> Callable[[], None]:
+    def _agreeing(self, manager: ShardController, assigned: ShardAssignment) -> Callable[[], None]:
         """The quorum: one after the other, whoever was proposed first."""
 
         def agree() -> None:
@@ -262,9 +271,9 @@
             good = assigned.epoch == (known.epoch if known else 0) + 1
             if good:
                 self.agreed[assigned.shard] = assigned
-                for place in assigned.all:
+                for place in assigned.members:
                     self._learning(place, assigned)
-            event = mg.Agreed(assigned) if good else mg.NotAgreed(assigned.shard, known)
+            event = mg.AssignmentAgreed(assigned) if good else mg.AssignmentRejected(assigned.shard, known)
             if manager is self.manager and self.chief.up and not self.chief.stopped:
                 self._decide(event)
 
@@ -273,32 +282,36 @@
     def _finding(self, manager: ShardController) -> Callable[[], None]:
         def find() -> None:
             if manager is self.manager and self.chief.up and not self.chief.stopped:
-                self._decide(mg.Found(tuple(self.agreed.values())))
+                self._decide(mg.AssignmentsLoaded(tuple(self.agreed.values())))
 
         return find
 
-    def _learning(self, place: Place, assigned: Assigned) -> None:
+    def _learning(self, place: ReplicaId, assigned: ShardAssignment) -> None:
         node = self.gateways[place.name]
-        self._deliver(self.chief, node, lambda: self._tell(node, rp.Learnt(assigned)))
+        self._deliver(self.chief, node, lambda: self._tell(node, rp.AssignmentLearned(assigned)))
 
     def _leasing(self, node: GatewayNode, session: str, sent: int, epochs: Any) -> Callable[[], None]:
         def lease() -> None:
             if session == node.replicas.session:
-                self._tell(node, rp.LeaseFrom(sent, epochs))
+                self._tell(node, rp.LeaseRenewed(sent, epochs))
 
         return lease
 
     def _beacon(self, node: GatewayNode) -> None:
         """The lease counts from when the beacon was sent that is answered."""
         now = node.clock(self.now)
-        joined = node.replicas.joined()
-        beacon = mg.Beacon(
-            node.holder, node.replicas.session, joined, node.replicas.left, node.replicas.yields()
+        joined = node.replicas.caught_up_replicas()
+        beacon = mg.HeartbeatReceived(
+            node.holder,
+            node.replicas.session,
+            joined,
+            node.replicas.shutting_down,
+            node.replicas.more_advanced_replicas(),
         )
         self._deliver(node, self.chief, lambda: self._decide(beacon, now))
         for assigned in self.agreed.values():
-            if node.holder.place in assigned.all and self.draw.random() < 0.3:
-                self._learning(node.holder.place, assigned)
+            if node.holder.replica_id in assigned.members and self.draw.random() < 0.3:
+                self._learning(node.holder.replica_id, assigned)
 
     def _beat(self, node: GatewayNode) -> None:
         self._beacon(node)
@@ -312,7 +325,7 @@
             client.number += 1
             client.key = f"{client.name}-{client.number}"
             if self.draw.random() < self.scene.once:
-                client.key += ONCE
+                client.key += ONCE_KEY_SUFFIX
         else:
             self.judge.repeats += 1
         client.told, client.tries = b"", 0
@@ -334,11 +347,11 @@
 
     def _take(self, node: GatewayNode, key: str, client: str) -> None:
         self._takes += 1
-        flow = node.flows[self._takes] = Flow(self._takes, key, client, self.now)
+        flow = node.flows[self._takes] = SimulatedRequest(self._takes, key, client, self.now)
         flow.place = self.draw.randrange(self.scene.places)
         self._send(node, flow)
 
-    def _send(self, node: GatewayNode, flow: Flow) -> None:
+    def _send(self, node: GatewayNode, flow: SimulatedRequest) -> None:
         """As the decision module does: where it may have run, and only while engines remember it."""
         earlier = flow.earlier
         late = earlier is not None and self.now + self.scene.patience > earlier[1] + self.scene.window
@@ -354,59 +367,68 @@
         zone = f"p{flow.place}"
         self._claim(
             node,
-            cl.Leaves(flow.number, flow.send, flow.key, "p", zone, -1, self.now, until, by, not flow.once),
+            cl.AttemptRequested(
+                flow.number, flow.send, flow.key, "p", zone, -1, self.now, until, by, not flow.once
+            ),
         )
 
-    def _end(self, node: GatewayNode, flow: Flow) -> None:
+    def _end(self, node: GatewayNode, flow: SimulatedRequest) -> None:
         if node.flows.pop(flow.number, None) is not None:
             by = self.now + 2 * S
-            self._claim(node, cl.Over(flow.number, flow.ran, frozenset(flow.out), by))
+            self._claim(node, cl.RequestEnded(flow.number, flow.ran, frozenset(flow.out), by))
 
     def _claim(self, node: GatewayNode, event: cl.Event) -> None:
         for action in node.claims.handle(self.now, event):
-            flow = None if isinstance(action, cl.Ask) else node.flows.get(action.command)
+            flow = None if isinstance(action, cl.SendToPrimary) else node.flows.get(action.request)
             match action:
-                case cl.Ask():
+                case cl.SendToPrimary():
                     self._ask_home(node, action)
-                case cl.LetGo() if flow is not None:
+                case cl.ReleaseAttempt() if flow is not None:
                     run = self._on(node, self._running(node, flow, flow.send, flow.place))
                     self.after(self.draw.randint(5 * MS, self.scene.work), run)
-                case cl.Back(_, send) if flow is not None:
+                case cl.ReturnAttempt(_, send) if flow is not None:
                     flow.out.discard(send)
                     if flow.earlier is not None:
                         self.after(MS, self._on(node, self._sending(node, flow)))
-                case cl.Recall(_, zone, _, since) if flow is not None:
+                case cl.ReportEarlierExecution(_, zone, _, since) if flow is not None:
                     flow.earlier = (int(zone[1:]), since)
                     self.judge.taken_over += 1
-                case cl.Give(_, answer) if flow is not None:
+                case cl.DeliverAnswer(_, answer) if flow is not None:
                     self._reply(node, flow, answer)
                     self._end(node, flow)
-                case cl.Refuse() | cl.Withhold() if flow is not None:
+                case cl.AbandonRequest() | cl.WithholdAnswer() if flow is not None:
                     self._end(node, flow)
 
-    def _sending(self, node: GatewayNode, flow: Flow) -> Callable[[], None]:
+    def _sending(self, node: GatewayNode, flow: SimulatedRequest) -> Callable[[], None]:
         return lambda: self._send(node, flow) if flow.number in node.flows else None
 
-    def _ask_home(self, node: GatewayNode, ask: cl.Ask) -> None:
+    def _ask_home(self, node: GatewayNode, ask: cl.SendToPrimary) -> None:
         self._tickets += 1
-        ticket, home = self._tickets, self.gateways[ask.holder]
+        ticket, home = self._tickets, self.gateways[ask.host]
         self._asks[ticket] = (node, ask.number, node.run)
-        if ask.finish:
-            event: rp.Event = rp.Finish(ticket, ask.holding, self.now)
+        if ask.completes:
+            event: rp.Event = rp.CompletionRequested(ticket, ask.record, self.now)
         else:
-            event = rp.Claim(ticket, ask.holding, self.now, ask.after)
+            event = rp.ClaimRequested(ticket, ask.record, self.now, ask.previous_owner)
         self._deliver(node, home, lambda: self._tell(home, event))
 
     def _outcome(
-        self, home: GatewayNode, ticket: int, what: str, holding: ms.Holding | None = None, why: str = "",
+        self,
+        home: GatewayNode,
+        ticket: int,
+        what: str,
+        holding: ms.IdempotencyRecord | None = None,
+        why: str = "",
         hint: str = "",
-    ) -> None:  # fmt: skip
+    ) -> None:
         to, number, run = self._asks.get(ticket, (None, 0, 0))
         if to is not None:
-            heard = cl.Heard(number, what, holding, why, hint)
+            heard = cl.PrimaryReplied(number, what, holding, why, hint)
             self._deliver(home, to, lambda: self._claim(to, heard) if to.run == run else None)
 
-    def _running(self, node: GatewayNode, flow: Flow, send: int, place: int) -> Callable[[], None]:
+    def _running(
+        self, node: GatewayNode, flow: SimulatedRequest, send: int, place: int
+    ) -> Callable[[], None]:
         """At the engine: it runs it, or says that it has not, or it says nothing that comes through."""
 
         def ran() -> None:
@@ -436,11 +458,11 @@
         def back(answer: bytes) -> None:
             flow.out.discard(send)
             if flow.number in node.flows:
-                self._claim(node, cl.Answered(flow.number, answer, flow.asked + self.scene.patience))
+                self._claim(node, cl.EndpointAnswered(flow.number, answer, flow.asked + self.scene.patience))
 
         return ran
 
-    def _reply(self, node: GatewayNode, flow: Flow, answer: bytes) -> None:
+    def _reply(self, node: GatewayNode, flow: SimulatedRequest, answer: bytes) -> None:
         client = self.clients[flow.client]
         self.judge.answered(flow.key, answer)
 
@@ -451,12 +473,12 @@
 
         self._deliver(node, client, heard)
 
-    def _say_failed(self, node: GatewayNode, flow: Flow) -> None:
+    def _say_failed(self, node: GatewayNode, flow: SimulatedRequest) -> None:
         client = self.clients[flow.client]
 
         def heard() -> None:
             if client.key == flow.key and not client.told:
-                client.told = FAILED
+                client.told = FAILED_ANSWER
                 self.after(self.draw.randint(10 * MS, 300 * MS), lambda: self._next(client))
 
         self._deliver(node, client, heard)
@@ -483,7 +505,7 @@
         node = self.draw.choice(list(self.gateways.values()))
         if not node.up or node.stopped:
             return
-        self._tell(node, rp.Leave())
+        self._tell(node, rp.ShutdownStarted())
         self._beacon(node)
 
         def end() -> None:
@@ -502,7 +524,7 @@
         self.down(self.chief)
         self.after(1200 * MS, lambda: None if self.chief.up else self.again(self.chief))
 
-    def _intact(self, place: Place) -> bool:
+    def _intact(self, place: ReplicaId) -> bool:
         node = self.gateways[place.name]
         return node.disk_name == place.disk and self.now >= node.lied_until
 
@@ -510,8 +532,8 @@
         """As often as is promised: the disks that count for what it held are all there. One may be cut off,
         and left out before the loss is known: so not the last but one."""
         for assigned in self.agreed.values():
-            counted = (assigned.home, *assigned.backups)
-            if node.holder.place in counted and not all(map(self._intact, counted)):
+            counted = (assigned.primary, *assigned.backups)
+            if node.holder.replica_id in counted and not all(map(self._intact, counted)):
                 return False
         return True
 
@@ -535,7 +557,7 @@
             return
         self.judge.lost_machines += 1
         self.down(node)
-        node.disk, node.disk_name = Disk(), ""
+        node.disk, node.disk_name = SimulatedDisk(), ""
         self.back(node, 2 * S)
 
     def _fault_flip(self) -> None:
@@ -547,31 +569,33 @@
         place = self.draw.choice(assigned.backups)
         node = self.gateways[place.name]
         shard = node.replicas.shards.get(assigned.shard)
-        answered = [each for each in shard.holdings.values() if each.answer] if shard else []
+        answered = [each for each in shard.records.values() if each.answer] if shard else []
         if shard is not None and answered and node.disk_name == place.disk:
             each = self.draw.choice(answered)
-            shard.holdings[each.key] = msgspec.structs.replace(each, answer=each.answer + b"?")
+            shard.records[each.key] = msgspec.structs.replace(each, answer=each.answer + b"?")
             self.judge.flipped += 1
             self._calm_until = self.now + 7 * S  # two at once would leave nobody who can tell
 
     def alike(self) -> bool:
         """All copies that stand at the same change hold the same."""
         for each in self.agreed.values():
-            shards = [self.gateways[place.name].replicas.shards[each.shard] for place in each.all]
+            shards = [self.gateways[place.name].replicas.shards[each.shard] for place in each.members]
             held: dict[Any, Any] = {}
             for shard in shards:
-                if held.setdefault(shard.last, shard.holdings) != shard.holdings:
+                if held.setdefault(shard.position, shard.records) != shard.records:
                     return False
         return True
 
     def _whole(self) -> bool:
         terms = self.scene.terms
-        return len(self.agreed) == terms.shards and all(
-            1 + len(each.backups) == terms.copies and not each.joining and all(map(self._intact, each.all))
+        return len(self.agreed) == terms.shard_count and all(
+            1 + len(each.backups) == terms.replica_count
+            and not each.joining
+            and all(map(self._intact, each.members))
             for each in self.agreed.values()
         )
 
 
-def play(seed: int, scene: CopyScene | None = None) -> CopyJudge:
+def play(seed: int, scene: ReplicationScenario | None = None) -> ReplicationChecker:
     """One run. Raises Broken."""
-    return CopyWorld(seed, scene or CopyScene()).run()
+    return ReplicationWorld(seed, scene or ReplicationScenario()).run()
--- a/lotusstream/lab/fleet/idempotency_client.py
+++ b/lotusstream/lab/fleet/idempotency_client.py
@@ -7,7 +7,7 @@
 import itertools
 import time
 
-from lotusstream.copies.messages import Held, Holding
+from lotusstream.copies.messages import IdempotencyRecord, RecordState
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.peers import Answer, PeerLimits, PeerLink
@@ -44,22 +44,22 @@
             if waiting is not None and not waiting.done():
                 waiting.set_result(frame)
 
-    async def once(self, name: str, holding: Holding) -> wire.Kept | None:
+    async def once(self, name: str, holding: IdempotencyRecord) -> wire.Kept | None:
         """What this holder says, or None."""
         number = next(self._numbers)
         waiting: asyncio.Future[wire.Kept] = asyncio.get_running_loop().create_future()
         self._waiting[number] = waiting
-        self._links[name].put(wire.Keep(number, holding.state is Held.ANSWERED, holding))
+        self._links[name].put(wire.Keep(number, holding.state is RecordState.ANSWERED, holding))
         with contextlib.suppress(TimeoutError):
             return await asyncio.wait_for(waiting, ANSWER)
         self._waiting.pop(number, None)
         return None
 
-    def holding(self, key: str, by: str, answer: bytes = b"", lasts: float = 60.0) -> Holding:
-        state = Held.ANSWERED if answer else Held.SENT
-        return Holding(key, "p", state, by, int((time.time() + lasts) * US), answer)
+    def holding(self, key: str, by: str, answer: bytes = b"", lasts: float = 60.0) -> IdempotencyRecord:
+        state = RecordState.ANSWERED if answer else RecordState.SENT
+        return IdempotencyRecord(key, "p", state, by, int((time.time() + lasts) * US), answer)
 
-    async def keep(self, holding: Holding, within: float = 20.0, but: str = "") -> wire.Kept:
+    async def keep(self, holding: IdempotencyRecord, within: float = 20.0, but: str = "") -> wire.Kept:
         """Until some home has promised it or knows it. `but`: not to be asked."""
         async with asyncio.timeout(within):
             for name in itertools.cycle(each for each in self._rig.holders if each != but):
--- a/lotusstream/lab/fleet/process.py
+++ b/lotusstream/lab/fleet/process.py
@@ -25,7 +25,7 @@
 
 from lotusstream.net import clock, raft_node, tasks
 from lotusstream.operator import fleet as directives
-from lotusstream.wal.log import Disk
+from lotusstream.wal.log import FileSystemCalls
 
 CLOCK = struct.Struct("!dq")
 WITNESS = "witness"
@@ -43,7 +43,7 @@
     acted: int
 
 
-class LabDisk(Disk):
+class LabDisk(FileSystemCalls):
     """Fails as the word in its file says; looked at for each call."""
 
     def __init__(self, told: Path) -> None:
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -11,7 +11,7 @@
 
 from lotusstream import interface as api
 from lotusstream.copies import idempotency as cl
-from lotusstream.copies.shards import Holder, Place
+from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.deployment import Deployment
 from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
 from lotusstream.net.actor import Actor, Supervisor
@@ -31,17 +31,17 @@
 from lotusstream.operator.fleet import FleetText
 from lotusstream.protocol import peers as wire
 
-PART = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
-SLACK = 50  # part of the time that a client gave, kept free before its end
-NOWHERE = -1
+CLAIM_TIME_DIVISOR = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
+RESERVED_TIME_DIVISOR = 50  # part of the time that a client gave, kept free before its end
+UNKNOWN_INDEX = -1
 
 
 @dataclass(frozen=True, slots=True)
-class _Tick:
+class _ClaimTimerFired:
     """Time alone may change something."""
 
 
-class CommitmentActor(Actor[GateMessage | wire.Kept | _Tick]):
+class CommitmentActor(Actor[GateMessage | wire.Kept | _ClaimTimerFired]):
     """Drives `Claims`; what it says reaches the decision module as events."""
 
     def __init__(
@@ -52,10 +52,10 @@
         assert told.copies is not None and told.remember is not None
         self._deployment, self._remember = deployment, told.remember
         self._decider, self._clock, self._tell = decider, clock, tell
-        holders = [Holder(Place(each.name, ""), each.machine, each.zone) for each in told.holders]
-        patience = told.patience // PART
-        terms = cl.ClaimTerms(told.copies.shards, told.copies.copies, patience, patience // 8)
-        self.claims = cl.Claims(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
+        holders = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in told.holders]
+        patience = told.patience // CLAIM_TIME_DIVISOR
+        terms = cl.ClaimOptions(told.copies.shard_count, told.copies.replica_count, patience, patience // 8)
+        self.claims = cl.ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
         self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
         self._armed: tuple[int, asyncio.TimerHandle] | None = None
 
@@ -64,12 +64,12 @@
         effect = self._deployment.started.profiles[profile].idempotency
         return mark is not None and effect is not Idempotency.IDEMPOTENT
 
-    async def receive(self, message: GateMessage | wire.Kept | _Tick) -> None:
+    async def receive(self, message: GateMessage | wire.Kept | _ClaimTimerFired) -> None:
         match message:
             case AttemptReady():
                 self._departs(message)
             case AttemptControl(actor, AbortAttempt(command, number)) if (command, number) in self._waiting:
-                self._take(cl.Stays(command, number))
+                self._take(cl.AttemptCancelled(command, number))
             case AttemptControl(actor, ChangePriority(command, number, priority)) if (
                 command,
                 number,
@@ -80,14 +80,14 @@
                 actor.post(told)
             case AnswerReceived(command, rows, ends_by, given):
                 now = self._clock.now()
-                by = max(ends_by - given // SLACK, (now + ends_by) // 2)
-                self._take(cl.Answered(command, rows, by))
+                by = max(ends_by - given // RESERVED_TIME_DIVISOR, (now + ends_by) // 2)
+                self._take(cl.EndpointAnswered(command, rows, by))
             case RequestClosed(command, ran, out, given):
-                self._take(cl.Over(command, ran, out, self._clock.now() + given))
+                self._take(cl.RequestEnded(command, ran, out, self._clock.now() + given))
             case wire.Kept(number, what, holding, why, home):
-                self._take(cl.Heard(number, what, holding, why, home))
-            case _Tick():
-                self._take(cl.Tick())
+                self._take(cl.PrimaryReplied(number, what, holding, why, home))
+            case _ClaimTimerFired():
+                self._take(cl.ClaimTimeAdvanced())
 
     def _departs(self, message: AttemptReady) -> None:
         start, taken, engine = message.start, message.taken, message.engine
@@ -100,14 +100,14 @@
             if profile.deduplication_scope is DeduplicationScope.ZONE and engine.zone < len(zones)
             else ""
         )
-        cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else NOWHERE
+        cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else UNKNOWN_INDEX
         self._waiting[start.command, start.number] = (start, message.actor)
         said = start.profile.encode() + b"\0" + start.statement
         until = now + max(self._remember, profile.deduplication_window)
-        by = now + (taken.ends_by - now) // PART
+        by = now + (taken.ends_by - now) // CLAIM_TIME_DIVISOR
         again = profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         self._take(
-            cl.Leaves(
+            cl.AttemptRequested(
                 start.command, start.number, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
                 now, until, by, again,
             )
@@ -117,34 +117,34 @@
         counters, post = self.supervisor.counters, self._decider.post
         for action in self.claims.handle(self._clock.now(), event):
             match action:
-                case cl.Ask(holder, number, finish, holding, after):
+                case cl.SendToPrimary(holder, number, finish, holding, after):
                     self._tell(holder, wire.Keep(number, finish, holding, after))
-                case cl.LetGo(command, send):
+                case cl.ReleaseAttempt(command, send):
                     start, actor = self._waiting.pop((command, send))
                     counters.add("sends promised")
                     counters.peak("wait for a promise, us", self._clock.now() - start.at)
                     actor.post(replace(start, at=self._clock.now()))
-                case cl.Back(command, send):
+                case cl.ReturnAttempt(command, send):
                     _, actor = self._waiting.pop((command, send))
                     post(AttemptFinished(command, send, actor.engine, Outcome.MOOT, 0))
-                case cl.Recall(command, zone, cell, since):
+                case cl.ReportEarlierExecution(command, zone, cell, since):
                     counters.add("commands that may have run elsewhere")
                     zones = self._deployment.zones
-                    at = zones.index(zone) if zone in zones else NOWHERE
+                    at = zones.index(zone) if zone in zones else UNKNOWN_INDEX
                     post(SubsystemEvent(api.ExecutedElsewhere(command, at, cell, since)))
-                case cl.Refuse(command, why):
+                case cl.AbandonRequest(command, why):
                     counters.add("commands that nothing can be promised for")
                     self.supervisor.log.say("promises", f"given up: {why}", reason=why)
                     post(SubsystemEvent(api.RequestWithdrawn(command)))
-                case cl.Give(command, answer):
+                case cl.DeliverAnswer(command, answer):
                     post(AnswerReady(command, answer, ""))
-                case cl.Withhold(command, why):
+                case cl.WithholdAnswer(command, why):
                     counters.add("answers withheld")
                     post(AnswerReady(command, None, why))
         self._arm()
 
     def _arm(self) -> None:
-        at = self.claims.next_at
+        at = self.claims.next_timer_at
         if at is None or (self._armed is not None and self._armed[0] <= at):
             return
         if self._armed is not None:
@@ -154,4 +154,4 @@
 
     def _ring(self) -> None:
         self._armed = None
-        self.post(_Tick())
+        self.post(_ClaimTimerFired())
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -17,71 +17,73 @@
 from lotusstream.copies import messages as ms
 from lotusstream.copies import replica as rp
 from lotusstream.copies import shard_controller as mg
-from lotusstream.copies.messages import Assigned
-from lotusstream.copies.replica import ReplicaSet, read_back
-from lotusstream.copies.shard_controller import CopyTerms, ShardController
-from lotusstream.copies.shards import Holder, Place, shard_of
+from lotusstream.copies.messages import ShardAssignment
+from lotusstream.copies.replica import ReplicaSet, recover_shards
+from lotusstream.copies.shard_controller import ReplicationOptions, ShardController
+from lotusstream.copies.shards import ReplicaHost, ReplicaId, shard_of
 from lotusstream.net import clock, raft_node
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.net.connection import US
 from lotusstream.net.control import Refused
 from lotusstream.net.tasks import TaskContext
 from lotusstream.protocol import peers as wire
-from lotusstream.wal.log import CorruptLogError, DiskError, Log
+from lotusstream.wal.log import CorruptLogError, DiskError, WriteAheadLog
 
-FILE = "copies.log"
-NOTE = "shard/"
-DRAINED = "drained"  # machines that are to hold nothing
-_ASSIGNED: msgspec.json.Decoder[Assigned] = msgspec.json.Decoder(Assigned)
+LOG_FILE_NAME = "copies.log"
+ASSIGNMENT_KEY_PREFIX = "shard/"
+DRAINED_MACHINES_KEY = "drained"  # machines that are to hold nothing
+_ASSIGNMENT_DECODER: msgspec.json.Decoder[ShardAssignment] = msgspec.json.Decoder(ShardAssignment)
 
 
-class Identity(msgspec.Struct, frozen=True, array_like=True, tag_field="is", tag="disk"):
+class DiskIdentity(msgspec.Struct, frozen=True, array_like=True, tag_field="is", tag="disk"):
     disk: str
 
 
-_RECORDS: msgspec.msgpack.Decoder[Identity | ms.KeptOp | ms.KeptWhole]
-_RECORDS = msgspec.msgpack.Decoder(Identity | ms.KeptOp | ms.KeptWhole)
+_LOG_RECORD_DECODER: msgspec.msgpack.Decoder[DiskIdentity | ms.OperationLogRecord | ms.SnapshotLogRecord]
+_LOG_RECORD_DECODER = msgspec.msgpack.Decoder(DiskIdentity | ms.OperationLogRecord | ms.SnapshotLogRecord)
 
-Put = Callable[[str, int, str, int], Awaitable[str]]  # key, version, value, token: '' once agreed, or why not
-Look = Callable[[], Awaitable[dict[str, Any] | None]]  # what the quorum has, or None
-Tell = Callable[[str, wire.AnyFrame], None]  # to the gateway of this name; may be lost
+PutNote = Callable[
+    [str, int, str, int], Awaitable[str]
+]  # key, version, value, token: '' once agreed, or why not
+ReadQuorumView = Callable[[], Awaitable[dict[str, Any] | None]]  # what the quorum has, or None
+SendFrame = Callable[[str, wire.AnyFrame], None]  # to the gateway of this name; may be lost
 
 
-class CopyStore:
+class ReplicaStore:
     """One log for all shards. What is damaged is put aside, and this holder comes back as a new one: others
     have what it had."""
 
     def __init__(self, folder: str, name: str) -> None:
         """Raises LogTrouble."""
         os.makedirs(folder, mode=0o700, exist_ok=True)
-        path = os.path.join(folder, FILE)
+        path = os.path.join(folder, LOG_FILE_NAME)
         self.damaged = ""
         try:
-            self._log = Log(path, raft_node.make_disk()).open()
-            records = [_RECORDS.decode(payload) for payload in self._log.payloads]
+            self._log = WriteAheadLog(path, raft_node.make_disk()).open()
+            records = [_LOG_RECORD_DECODER.decode(payload) for payload in self._log.payloads]
         except (CorruptLogError, msgspec.MsgspecError) as error:
             self.damaged = str(error)
             if not isinstance(error, CorruptLogError):
                 self._log.close()
             os.replace(path, f"{path}.damaged-{time.time_ns()}")
-            self._log, records = Log(path, raft_node.make_disk()).open(), []
+            self._log, records = WriteAheadLog(path, raft_node.make_disk()).open(), []
         self._log.payloads = []
-        disks = [record.disk for record in records if isinstance(record, Identity)]
+        disks = [record.disk for record in records if isinstance(record, DiskIdentity)]
         self.disk = disks[0] if disks else f"{name}-{uuid.uuid4().hex[:12]}"
         if not disks:
-            self._log.append(msgspec.msgpack.encode(Identity(self.disk)))
-        kept = [record for record in records if not isinstance(record, Identity)]
-        self.shards = read_back(kept)
+            self._log.append(msgspec.msgpack.encode(DiskIdentity(self.disk)))
+        kept = [record for record in records if not isinstance(record, DiskIdentity)]
+        self.shards = recover_shards(kept)
         self._writing = threading.Lock()
-        self._least = max(1 << 20, 2 * self._log.size)
+        self._least = max(1 << 20, 2 * self._log.size_bytes)
 
-    def write(self, saves: list[rp.Save], whole: list[ms.Record] | None) -> None:
+    def write(self, saves: list[rp.PersistLogRecords], whole: list[ms.LogRecord] | None) -> None:
         """`whole`: all shards as they are, where the log is to be written anew. Raises DiskTrouble."""
         with self._writing:
             if whole is not None:
-                records: list[Any] = [Identity(self.disk), *whole]
+                records: list[Any] = [DiskIdentity(self.disk), *whole]
                 self._log.rewrite(map(msgspec.msgpack.encode, records))
-                self._least = max(1 << 20, 2 * self._log.size)
+                self._least = max(1 << 20, 2 * self._log.size_bytes)
             else:
                 records = [record for save in saves for record in save.records]
                 self._log.append(*map(msgspec.msgpack.encode, records))
@@ -89,12 +91,12 @@
     def damaged_at(self) -> int | None:
         """What is on the disk, read once more beside all writes. Raises DiskTrouble."""
         with self._writing:
-            look = self._log.look()
-        return look.damaged()
+            look = self._log.inspect()
+        return look.first_damaged_byte()
 
     @property
     def is_long(self) -> bool:
-        return self._log.size > self._least
+        return self._log.size_bytes > self._least
 
     def close(self) -> None:
         with self._writing:
@@ -102,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
+class _ClaimFrameReceived:
     """Of another gateway, or of this one."""
 
     frame: wire.Keep
@@ -110,27 +112,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Beaten:
+class _HeartbeatReplyReceived:
     frame: wire.Beaten
 
 
-class CopiesActor(Actor[Any]):
+class ReplicationActor(Actor[Any]):
     """Events of `Replicas` in its mailbox. A disk that fails ends it until the gateway begins anew."""
 
     def __init__(
-        self, name: str, machine: str, zone: str, terms: CopyTerms, folder: str, tell: Tell, look: Look,
+        self,
+        name: str,
+        machine: str,
+        zone: str,
+        terms: ReplicationOptions,
+        folder: str,
+        tell: SendFrame,
+        look: ReadQuorumView,
         supervisor: Supervisor,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__("copies", supervisor)
         self._terms, self._tell, self._look = terms, tell, look
-        self._store = CopyStore(folder, name)
+        self._store = ReplicaStore(folder, name)
         if self._store.damaged:
             supervisor.log.say("copies", f"put aside, and copied anew: {self._store.damaged}", "error")
-        self.holder = Holder(Place(name, self._store.disk), machine, zone)
+        self.holder = ReplicaHost(ReplicaId(name, self._store.disk), machine, zone)
         session = f"{self._store.disk}.{uuid.uuid4().hex[:8]}"
-        place = self.holder.place
+        place = self.holder.replica_id
         self.replicas = ReplicaSet(place, session, terms, self._store.shards, clock.boot_clock())
-        self._saves: list[rp.Save] = []
+        self._saves: list[rp.PersistLogRecords] = []
         self._saving = self._anew = False  # anew: the log is to be written whole
         self._armed: asyncio.TimerHandle | None = None  # for what waits for the told pace
         self._failed = ""
@@ -139,19 +148,19 @@
         self._beats: dict[int, int] = {}
         self._beat, self._answered = 0, 0
         self.manager = ""
-        self.homes: dict[int, Place] = {}
+        self.homes: dict[int, ReplicaId] = {}
 
     def start(self) -> None:
         super().start()
         self.supervisor.keep("beacons", self._beacons)
-        if self._terms.scrub:
+        if self._terms.anti_entropy_interval:
             self.supervisor.keep("scrub", self._scrub)
 
     async def _scrub(self) -> None:
         """The log is read again once in the told time. Memory has all that it holds: a damaged one is written
         anew from there, before a start would have to put it aside."""
         while True:
-            await asyncio.sleep(self._terms.scrub / US)
+            await asyncio.sleep(self._terms.anti_entropy_interval / US)
             self.supervisor.counters.add("copies logs read again")
             if self._failed or (at := await asyncio.to_thread(self._store.damaged_at)) is None:
                 continue
@@ -170,7 +179,7 @@
                 leases = {row["task"]: row["holder"] for row in (view or {}).get("leases", [])}
                 self.manager = leases.get("copies", "")
             self._beacon()
-            self.post(rp.Tick(time.time_ns() // 1000))
+            self.post(rp.ReplicaTimeAdvanced(time.time_ns() // 1000))
             await asyncio.sleep(length / US / 8)
 
     def _beacon(self) -> None:
@@ -180,45 +189,52 @@
             kept = self._beats.items()
             self._beats = {number: at for number, at in kept if now - at < self._terms.leases.length}
             self._beats[self._beat] = now
-            told, joined = self.replicas, self.replicas.joined()
-            beat = wire.Beat(self._beat, self.holder, told.session, joined, told.left, told.yields())
+            told, joined = self.replicas, self.replicas.caught_up_replicas()
+            beat = wire.Beat(
+                self._beat,
+                self.holder,
+                told.session,
+                joined,
+                told.shutting_down,
+                told.more_advanced_replicas(),
+            )
             self._tell(self.manager, beat)
 
     def leave(self) -> None:
         """A planned stop: others are home of its shards at once, not only once its lease is over."""
-        self.post(rp.Leave())
+        self.post(rp.ShutdownStarted())
 
     def heard(self, frame: wire.AnyFrame, answer: Callable[[wire.AnyFrame], None]) -> None:
         match frame:
             case wire.Word(source, to, word):
-                if to == self.holder.place:
-                    self.post(rp.Heard(source, word))
+                if to == self.holder.replica_id:
+                    self.post(rp.MessageReceived(source, word))
             case wire.Keep():
-                self.post(_Asked(frame, answer))
+                self.post(_ClaimFrameReceived(frame, answer))
             case wire.Beaten():
-                self.post(_Beaten(frame))
+                self.post(_HeartbeatReplyReceived(frame))
 
     async def receive(self, message: Any) -> None:
         if self._failed:
             return
         match message:
-            case _Asked(frame, answer):
+            case _ClaimFrameReceived(frame, answer):
                 self._ticket += 1
                 self._tickets[self._ticket] = (frame, answer)
                 unix = time.time_ns() // 1000
                 if frame.finish:
-                    self._take(rp.Finish(self._ticket, frame.holding, unix))
+                    self._take(rp.CompletionRequested(self._ticket, frame.holding, unix))
                 else:
-                    self._take(rp.Claim(self._ticket, frame.holding, unix, frame.after))
-            case _Beaten(frame):
+                    self._take(rp.ClaimRequested(self._ticket, frame.holding, unix, frame.after))
+            case _HeartbeatReplyReceived(frame):
                 for assigned in frame.assigned:
-                    self._take(rp.Learnt(assigned))
+                    self._take(rp.AssignmentLearned(assigned))
                 sent = self._beats.get(frame.number)
                 if sent is not None:
                     self._answered = clock.boot_clock()
                     self.homes = dict(frame.homes)
-                    self._take(rp.LeaseFrom(sent, frame.epochs))
-            case rp.Leave():
+                    self._take(rp.LeaseRenewed(sent, frame.epochs))
+            case rp.ShutdownStarted():
                 self._take(message)
                 self._beacon()
             case _:
@@ -226,30 +242,30 @@
 
     def _take(self, event: rp.Event) -> None:
         self._carry_out(event)
-        at = self.replicas.next_at
+        at = self.replicas.next_timer_at
         if at is not None and self._armed is None:
             pause = max(1000, at - clock.boot_clock()) / US
             self._armed = asyncio.get_running_loop().call_later(pause, self._fire)
 
     def _fire(self) -> None:
         self._armed = None
-        self.post(rp.Tick())
+        self.post(rp.ReplicaTimeAdvanced())
 
     def _carry_out(self, event: rp.Event) -> None:
         for action in self.replicas.handle(clock.boot_clock(), event):
             match action:
-                case rp.Save():
+                case rp.PersistLogRecords():
                     self._saves.append(action)
                     self._begin_saving()
-                case rp.Say(to, word):
-                    self._tell(to.name, wire.Word(self.holder.place, to, word))
-                case rp.Promised(ticket):
+                case rp.SendReplicaMessage(to, word):
+                    self._tell(to.name, wire.Word(self.holder.replica_id, to, word))
+                case rp.Committed(ticket):
                     self._answer(ticket, "promised", None)
-                case rp.Known(ticket, holding):
+                case rp.AlreadyRecorded(ticket, holding):
                     self._answer(ticket, "known", holding)
-                case rp.Unkept(ticket, why, home, maybe):
+                case rp.NotCommitted(ticket, why, home, maybe):
                     self._answer(ticket, "maybe" if maybe else "unkept", None, why, home)
-                case rp.Differ(shard, filled, ahead):
+                case rp.ReportDivergence(shard, filled, ahead):
                     names = ", ".join(each.name for each in filled)
                     how = f"{names} filled anew" if names else f"{ahead.name} is to be home" if ahead else ""
                     text = f"copies of shard {shard} differ: {how or 'nobody can tell which is right'}"
@@ -260,8 +276,8 @@
         if (found := self._tickets.pop(ticket, None)) is not None:
             asked, answer = found
             if what == "unkept" and not home:  # as this holder last heard
-                place = self.homes.get(shard_of(asked.holding.key, self._terms.shards))
-                home = place.name if place is not None and place != self.holder.place else ""
+                place = self.homes.get(shard_of(asked.holding.key, self._terms.shard_count))
+                home = place.name if place is not None and place != self.holder.replica_id else ""
             answer(wire.Kept(asked.number, what, holding, why, home))
 
     def _begin_saving(self) -> None:
@@ -283,38 +299,38 @@
                 self.supervisor.log.say("copies", f"this holder stands still: {error}", "error")
                 return
             if saves:
-                self.post(rp.Persisted(saves[-1].number))
+                self.post(rp.LogWritePersisted(saves[-1].write_number))
         self._saving = False
 
-    def _whole(self) -> list[ms.Record]:
-        most = self._terms.part
+    def _whole(self) -> list[ms.LogRecord]:
+        most = self._terms.part_bytes
         return [
             record
             for shard in self.replicas.shards.values()
-            for record in ms.kept_whole(shard.number, shard.last, shard.holdings.values(), most)
+            for record in ms.snapshot_log_records(shard.number, shard.position, shard.records.values(), most)
         ]
 
     def view(self) -> dict[str, Any]:
         """For people."""
         rows = []
         for shard in self.replicas.shards.values():
-            if (mine := shard.assigned) is not None and not shard.deposed:
+            if (mine := shard.assignment) is not None and not shard.deposed:
                 rows.append(
                     {
-                        "shard": shard.number, "epoch": mine.epoch, "home": mine.home.name,
+                        "shard": shard.number, "epoch": mine.epoch, "home": mine.primary.name,
                         "copies": [each.name for each in mine.backups],
-                        "joining": [each.name for each in mine.joining], "keys": len(shard.holdings),
+                        "joining": [each.name for each in mine.joining], "keys": len(shard.records),
                     }
                 )  # fmt: skip
         return {
-            "holder": self.holder.place.name,
-            "disk": self.holder.place.disk,
+            "holder": self.holder.replica_id.name,
+            "disk": self.holder.replica_id.disk,
             "machine": self.holder.machine,
             "zone": self.holder.zone,
             "manager": self.manager,
-            "leased": self.replicas.leased,
+            "leased": self.replicas.has_lease,
             "trouble": self._failed,
-            "size": self.replicas.size,
+            "size": self.replicas.size_bytes,
             "shards": rows,
         }
 
@@ -325,16 +341,23 @@
         await asyncio.to_thread(self._store.close)
 
 
-class ManagerTask(Actor[Any]):
+class ShardControllerTask(Actor[Any]):
     """Who decides on homes: a task under the lease 'copies'. Looks at its token before each word."""
 
-    def __init__(self, around: TaskContext, terms: CopyTerms, tell: Tell, put: Put, look: Look) -> None:
+    def __init__(
+        self,
+        around: TaskContext,
+        terms: ReplicationOptions,
+        tell: SendFrame,
+        put: PutNote,
+        look: ReadQuorumView,
+    ) -> None:
         super().__init__("copies manager", around.supervisor)
         self._around, self._terms, self._tell, self._put, self._look = around, terms, tell, put, look
         self._manager: ShardController | None = None
         self._token = 0
-        self._waiting: dict[tuple[Place, str], int] = {}
-        self._machines: dict[Place, str] = {}
+        self._waiting: dict[tuple[ReplicaId, str], int] = {}
+        self._machines: dict[ReplicaId, str] = {}
         self._work: asyncio.Task[None] | None = None
         self._running = False
 
@@ -355,17 +378,21 @@
         while (view := await self._look()) is None or self._around.may_act() != token:
             await asyncio.sleep(self._terms.leases.length / US / 8)  # a renewal that is late is no end
         self._manager = ShardController(self._terms, self._assigned(view), clock.boot_clock())
-        self.post(mg.Drained(self._drained(view)))
+        self.post(mg.MachinesDrained(self._drained(view)))
         while True:
-            self.post(mg.Tick())
+            self.post(mg.ControllerTimeAdvanced())
             await asyncio.sleep(self._terms.leases.length / US / 20)
 
-    def _assigned(self, view: dict[str, Any]) -> tuple[Assigned, ...]:
+    def _assigned(self, view: dict[str, Any]) -> tuple[ShardAssignment, ...]:
         notes = view["notes"].items()
-        return tuple(_ASSIGNED.decode(note["value"]) for key, note in notes if key.startswith(NOTE))
+        return tuple(
+            _ASSIGNMENT_DECODER.decode(note["value"])
+            for key, note in notes
+            if key.startswith(ASSIGNMENT_KEY_PREFIX)
+        )
 
     def _drained(self, view: dict[str, Any]) -> frozenset[str]:
-        note = view["notes"].get(DRAINED)
+        note = view["notes"].get(DRAINED_MACHINES_KEY)
         return frozenset(msgspec.json.decode(note["value"], type=list[str])) if note else frozenset()
 
     @property
@@ -378,56 +405,60 @@
             raise Refused("busy", "the quorum does not answer")
         machines = self._drained(view)
         machines = machines - {machine} if undo else machines | {machine}
-        note = view["notes"].get(DRAINED)
+        note = view["notes"].get(DRAINED_MACHINES_KEY)
         version = note["version"] + 1 if note else 1
         value = msgspec.json.encode(sorted(machines)).decode()
-        if why := await self._put(DRAINED, version, value, self._token):
+        if why := await self._put(DRAINED_MACHINES_KEY, version, value, self._token):
             raise Refused("busy", why)
-        self.post(mg.Drained(machines))
-        assigned = self._manager.assigned.values() if self._manager else ()
+        self.post(mg.MachinesDrained(machines))
+        assigned = self._manager.assignments.values() if self._manager else ()
         seen = {place.name: machine for place, machine in self._machines.items()}
-        left = sum(any(seen.get(place.name) in machines for place in each.all) for each in assigned)
+        left = sum(any(seen.get(place.name) in machines for place in each.members) for each in assigned)
         return {"drained": sorted(machines), "shards_left": left}
 
     async def _look_up(self) -> None:
         if (view := await self._look()) is not None:
-            self.post(mg.Found(self._assigned(view)))
-            self.post(mg.Drained(self._drained(view)))
+            self.post(mg.AssignmentsLoaded(self._assigned(view)))
+            self.post(mg.MachinesDrained(self._drained(view)))
 
     async def receive(self, message: Any) -> None:
         manager = self._manager
         if manager is None or not self._token or self._around.may_act() != self._token:
             return
         if isinstance(message, wire.Beat):
-            self._waiting[message.holder.place, message.session] = message.number
-            self._machines[message.holder.place] = message.holder.machine
-            message = mg.Beacon(message.holder, message.session, message.joined, message.left, message.yields)
+            self._waiting[message.holder.replica_id, message.session] = message.number
+            self._machines[message.holder.replica_id] = message.holder.machine
+            message = mg.HeartbeatReceived(
+                message.holder, message.session, message.joined, message.left, message.yields
+            )
         for action in manager.handle(clock.boot_clock(), message):
             match action:
-                case mg.Propose(assigned):
+                case mg.ProposeAssignment(assigned):
                     self.supervisor.start("assigning", self._propose(assigned, self._token))
-                case mg.LookUp():
+                case mg.LoadAssignments():
                     self.supervisor.start("assignments", self._look_up())
-                case mg.Answer(place, session, epochs):
+                case mg.GrantReplicaLease(place, session, epochs):
                     number = self._waiting.pop((place, session), 0)
-                    mine = tuple(each for each in manager.assigned.values() if place in each.all)
-                    homes = {shard: each.home for shard, each in manager.assigned.items()}
+                    mine = tuple(each for each in manager.assignments.values() if place in each.members)
+                    homes = {shard: each.primary for shard, each in manager.assignments.items()}
                     self._tell(place.name, wire.Beaten(number, mine, homes, dict(epochs)))
-                case mg.Endangered(thin, lost):
+                case mg.ReportRedundancy(thin, lost):
                     text = f"{thin} shards bear no further loss, {lost} have nobody left"
                     severity = "warning" if thin or lost else "info"
                     self.supervisor.log.say("copies", text, severity, thin=thin, lost=lost)
 
-    async def _propose(self, assigned: Assigned, token: int) -> None:
+    async def _propose(self, assigned: ShardAssignment, token: int) -> None:
         value = msgspec.json.encode(assigned).decode()
-        why = await self._put(f"{NOTE}{assigned.shard}", assigned.epoch, value, token)
+        why = await self._put(f"{ASSIGNMENT_KEY_PREFIX}{assigned.shard}", assigned.epoch, value, token)
         if self._token != token:
             return
         if not why:
-            text = f"shard {assigned.shard}, epoch {assigned.epoch}: home {assigned.home.name}"
+            text = f"shard {assigned.shard}, epoch {assigned.epoch}: home {assigned.primary.name}"
             self.supervisor.log.say("assigned", text, "debug", shard=assigned.shard, epoch=assigned.epoch)
-            self.post(mg.Agreed(assigned))
+            self.post(mg.AssignmentAgreed(assigned))
             return
         view = await self._look()
-        note = (view or {}).get("notes", {}).get(f"{NOTE}{assigned.shard}")
-        self.post(mg.NotAgreed(assigned.shard, _ASSIGNED.decode(note["value"]) if note else None))
+        note = (view or {}).get("notes", {}).get(f"{ASSIGNMENT_KEY_PREFIX}{assigned.shard}")
+        self.post(
+            mg.AssignmentRejected(assigned.shard, _ASSIGNMENT_DECODER.decode(note["value"]) if note else None)
+        )
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -28,7 +28,7 @@
 
 if TYPE_CHECKING:
     from lotusstream.net.commitments import CommitmentActor
-    from lotusstream.net.copies import CopiesActor, ManagerTask
+    from lotusstream.net.copies import ReplicationActor, ShardControllerTask
     from lotusstream.net.health_checks import HealthReportService, PeerReportsActor
 
 ANSWER_WITHIN = 3.0  # seconds, of an operator's question
@@ -120,8 +120,8 @@
         }
         self.keeper: RaftActor | None = None
         self._server: PeerServer | None = None
-        self.copies: CopiesActor | None = None
-        self._manager: ManagerTask | None = None
+        self.copies: ReplicationActor | None = None
+        self._manager: ShardControllerTask | None = None
         here = told.keeper(name) or told.holder(name)
         if here is not None:
             self._server = PeerServer(told.listen or (here.host, here.port), manners, self._heard, supervisor)
@@ -153,11 +153,11 @@
             if self.keeper is not None:
                 self._desk = HealthReportService(examine, self._newest_examiner)
         if (holds := told.holder(name)) is not None and told.copies is not None:
-            from lotusstream.net.copies import CopiesActor
+            from lotusstream.net.copies import ReplicationActor
 
             assert told.store is not None
             machine, zone = holds.machine, holds.zone
-            self.copies = CopiesActor(
+            self.copies = ReplicationActor(
                 name, machine, zone, told.copies, told.store, self._tell, self._look, supervisor
             )
         self.promises: CommitmentActor | None = None
@@ -255,10 +255,10 @@
     # Copies
 
     def _make_manager(self, around: TaskContext) -> FleetTask:
-        from lotusstream.net.copies import ManagerTask
+        from lotusstream.net.copies import ShardControllerTask
 
         assert self._told.copies is not None
-        self._manager = ManagerTask(around, self._told.copies, self._tell, self._put, self._look)
+        self._manager = ShardControllerTask(around, self._told.copies, self._tell, self._put, self._look)
         return self._manager
 
     def _tell(self, name: str, frame: wire.AnyFrame) -> None:
--- a/lotusstream/net/migrations.py
+++ b/lotusstream/net/migrations.py
@@ -10,12 +10,12 @@
 from lotusstream.cells.controller import MigrationNotPersisted, MigrationPersisted, recover_migrations
 from lotusstream.cells.migration import Migration, MigrationStep
 from lotusstream.net.actor import Actor, Supervisor
-from lotusstream.wal.log import CorruptLogError, DiskError, Log
+from lotusstream.wal.log import CorruptLogError, DiskError, WriteAheadLog
 
 _STEPS: msgspec.json.Decoder[Migration] = msgspec.json.Decoder(Migration)
 
 
-def read_moves(log: Log, path: str, now: int) -> list[Migration]:
+def read_moves(log: WriteAheadLog, path: str, now: int) -> list[Migration]:
     """The tenants that live elsewhere than the plan says. What was on its way is ended or undone, and the
     log holds no more than that afterwards. Raises LogTrouble."""
     try:
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        log: Log | None,
+        log: WriteAheadLog | None,
         why: str,
         tell: Callable[[MigrationPersisted | MigrationNotPersisted], None],
         supervisor: Supervisor,
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -22,7 +22,7 @@
 from lotusstream.quorum.messages import Envelope, Record
 from lotusstream.quorum.node import RaftNode, RaftTiming
 from lotusstream.quorum.replicated_log import OnDisk
-from lotusstream.wal.log import CorruptLogError, Disk, DiskError, Log
+from lotusstream.wal.log import CorruptLogError, DiskError, FileSystemCalls, WriteAheadLog
 
 _RECORDS: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
 AGAIN = 1.0  # seconds until a disk that failed is looked at again
@@ -30,19 +30,19 @@
 ANSWERED_AS = Callable[[wire.Told], None]
 
 
-def make_disk() -> Disk:
+def make_disk() -> FileSystemCalls:
     """The system's calls to the disk; a laboratory puts its own in the way."""
-    return Disk()
+    return FileSystemCalls()
 
 
-def open_store(folder: str) -> tuple[Log, OnDisk]:
+def open_store(folder: str) -> tuple[WriteAheadLog, OnDisk]:
     """Raises LogTrouble: CorruptLog where what is there can't be trusted."""
     path = os.path.join(folder, FILE)
     try:
         os.makedirs(folder, mode=0o700, exist_ok=True)
     except OSError as error:
         raise DiskError(folder, error.strerror or str(error), "name a folder that can be made") from error
-    log = Log(path, make_disk()).open()
+    log = WriteAheadLog(path, make_disk()).open()
     try:
         found = OnDisk([_RECORDS.decode(payload) for payload in log.payloads])
     except (msgspec.MsgspecError, ValueError) as error:
@@ -80,7 +80,7 @@
     what the descriptor says is not believed any longer."""
 
     def __init__(
-        self, log: Log, told: Callable[[ev.Persisted | _DiskFailed], None], supervisor: Supervisor
+        self, log: WriteAheadLog, told: Callable[[ev.Persisted | _DiskFailed], None], supervisor: Supervisor
     ) -> None:
         super().__init__("quorum store", supervisor)
         self._log, self._told, self._failed = log, told, False
@@ -127,9 +127,12 @@
     """`say` carries an envelope to another keeper; it may be lost. Who asks gives a callable as `caller`."""
 
     def __init__(
-        self, terms: RaftActorOptions, store: tuple[Log, OnDisk] | None, say: Callable[[Envelope], None],
+        self,
+        terms: RaftActorOptions,
+        store: tuple[WriteAheadLog, OnDisk] | None,
+        say: Callable[[Envelope], None],
         supervisor: Supervisor,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__("keeper", supervisor)
         self._terms, self._say = terms, say
         self.desk: LeaseService | None = None
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -87,13 +87,13 @@
 
     def _log(self, path: str | None):  # type: ignore[no-untyped-def]
         from lotusstream.net.migrations import read_moves
-        from lotusstream.wal.log import DiskError, Log
+        from lotusstream.wal.log import DiskError, WriteAheadLog
 
         moves: list[Migration] = []
         if path is None:
             return None, "the cells have no log", moves
         try:
-            log = Log(path).open()
+            log = WriteAheadLog(path).open()
             return log, "", read_moves(log, path, self.around.clock.now())
         except DiskError as error:
             self.around.supervisor.log.say("moves", f"none can be made: {error}", "error")
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from lotusstream.copies.shard_controller import CopyTerms
-from lotusstream.copies.shards import SHARDS
+from lotusstream.copies.shard_controller import ReplicationOptions
+from lotusstream.copies.shards import DEFAULT_SHARD_COUNT
 from lotusstream.healthcheck.reports import HealthCheckOptions
 from lotusstream.leases.granter import LeaseTerms
 from lotusstream.operator.grammar import Word
@@ -69,7 +69,7 @@
     callers: int
     tasks: tuple[str, ...]
     holders: tuple[HolderAddress, ...] = ()
-    copies: CopyTerms | None = None
+    copies: ReplicationOptions | None = None
     remember: int | None = None  # how long a command with a mark is known to all gateways
     examine: HealthCheckOptions | None = None
 
@@ -178,16 +178,25 @@
     return found, list(_wrong(file, block, found))
 
 
-def _copies(block: Node, leases: LeaseTerms) -> CopyTerms | None:
+def _copies(block: Node, leases: LeaseTerms) -> ReplicationOptions | None:
     if (node := block.one("copies")) is None:
         return None
-    shards = block.value("shards", "a number", SHARDS)
+    shards = block.value("shards", "a number", DEFAULT_SHARD_COUNT)
     repairs = block.value("repairs", "a number", 4)
     most = block.value("holds", "a size", 0)
     rate = block.value("repair-pace", "a size", REPAIR_PACE)
     copies, promise = node.values["a number"], node.values["a promise"]
     scrub = block.value("scrub", "a time", SCRUB)
-    return CopyTerms(copies, promise, leases, repairs, shards, most=most, rate=rate, scrub=scrub)
+    return ReplicationOptions(
+        copies,
+        promise,
+        leases,
+        repairs,
+        shards,
+        max_bytes=most,
+        catch_up_bytes_per_s=rate,
+        anti_entropy_interval=scrub,
+    )
 
 
 def _wrong(file: str, block: Node, told: FleetText) -> Iterator[Problem]:
@@ -211,11 +220,11 @@
             yield Problem(file, node.line, node.column, what, "give each its own address")
     if told.copies is not None:
         machines = {each.machine for each in told.holders}
-        if told.copies.promise > told.copies.copies:
-            what = f"a promise on {told.copies.promise} of {told.copies.copies} disks"
+        if told.copies.commit_count > told.copies.replica_count:
+            what = f"a promise on {told.copies.commit_count} of {told.copies.replica_count} disks"
             yield wrong("copies", what, "no more than there are copies")
-        if len(machines) < told.copies.copies:
-            what = f"{told.copies.copies} copies on holders of {len(machines)} machines"
+        if len(machines) < told.copies.replica_count:
+            what = f"{told.copies.replica_count} copies on holders of {len(machines)} machines"
             yield wrong("copies", what, "name holders on as many machines: no two copies share one")
     elif told.remember is not None:
         yield wrong("remember", "nothing is held without 'copies'", "copies 3 promise 2, and holders")
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -10,8 +10,14 @@
 
 import msgspec
 
-from lotusstream.copies.messages import AnyWord, Assigned, Compare, Compared, Holding
-from lotusstream.copies.shards import Holder, Place
+from lotusstream.copies.messages import (
+    DigestReply,
+    DigestRequest,
+    IdempotencyRecord,
+    ReplicaMessage,
+    ShardAssignment,
+)
+from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.healthcheck.reports import HealthReports
 from lotusstream.leases.table import AnyWish, Granted
 from lotusstream.quorum.messages import Envelope
@@ -83,9 +89,9 @@
 class Word(Frame, frozen=True, tag="word"):
     """Between two holders of copies."""
 
-    source: Place
-    to: Place
-    word: AnyWord
+    source: ReplicaId
+    to: ReplicaId
+    word: ReplicaMessage
 
 
 class Beat(Frame, frozen=True, tag="beat"):
@@ -93,19 +99,19 @@
     `left`: it promises nothing any more. `yields`: by shard, epoch and whose disk has more."""
 
     number: int
-    holder: Holder
+    holder: ReplicaHost
     session: str
-    joined: dict[int, tuple[int, tuple[Place, ...]]]
+    joined: dict[int, tuple[int, tuple[ReplicaId, ...]]]
     left: bool = False
-    yields: dict[int, tuple[int, Place]] = {}
+    yields: dict[int, tuple[int, ReplicaId]] = {}
 
 
 class Beaten(Frame, frozen=True, tag="beaten"):
     """The answer: what this holder has to do with, all homes, and the epochs of all shards."""
 
     number: int
-    assigned: tuple[Assigned, ...]
-    homes: dict[int, Place]
+    assigned: tuple[ShardAssignment, ...]
+    homes: dict[int, ReplicaId]
     epochs: dict[int, int] = {}
 
 
@@ -115,7 +121,7 @@
 
     number: int
     finish: bool
-    holding: Holding
+    holding: IdempotencyRecord
     after: str = ""
 
 
@@ -124,7 +130,7 @@
 
     number: int
     what: str
-    holding: Holding | None
+    holding: IdempotencyRecord | None
     why: str
     home: str
 
@@ -147,7 +153,12 @@
     | Hear | Tidings
 )  # fmt: skip
 
-SINCE: dict[type[Any], int] = {Hear: 2, Tidings: 2, Compare: 2, Compared: 2}  # others are of the first
+SINCE: dict[type[Any], int] = {
+    Hear: 2,
+    Tidings: 2,
+    DigestRequest: 2,
+    DigestReply: 2,
+}  # others are of the first
 
 
 def since(frame: AnyFrame) -> int:
--- a/lotusstream/wal/log.py
+++ b/lotusstream/wal/log.py
@@ -19,7 +19,7 @@
 MAGIC, VERSION = b"LSLOG\x00", 1
 HEADER = struct.Struct("!6sHI")  # magic, version, checksum of both
 FRAME = struct.Struct("!II")  # length, checksum of length and payload
-LONGEST = 1 << 20
+MAX_PAYLOAD_BYTES = 1 << 20
 
 
 class LogError(Exception):
@@ -27,7 +27,7 @@
 
     def __init__(self, path: str, what: str, hint: str) -> None:
         super().__init__(f"{path}: {what}; {hint}")
-        self.path, self.what, self.hint = path, what, hint
+        self.path, self.problem, self.hint = path, what, hint
 
 
 class NewerLogError(LogError):
@@ -39,7 +39,7 @@
 
     def __init__(self, path: str, what: str, hint: str, at: int) -> None:
         super().__init__(path, what, hint)
-        self.at = at
+        self.offset = at
 
 
 class LogInUseError(LogError):
@@ -50,7 +50,7 @@
     """The disk is full, read-only, or failed. What was appended before stands."""
 
 
-class Disk:
+class FileSystemCalls:
     """The system's calls, one by one, so that a test can end the process at any of them."""
 
     def write(self, descriptor: int, data: bytes) -> int:
@@ -65,7 +65,7 @@
     def replace(self, source: str, target: str) -> None:
         os.replace(source, target)
 
-    def sync_folder(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -73,14 +73,14 @@
             os.close(descriptor)
 
 
-def header(version: int = VERSION) -> bytes:
+def encode_header(version: int = VERSION) -> bytes:
     head = MAGIC + version.to_bytes(2, "big")
     return HEADER.pack(MAGIC, version, zlib.crc32(head))
 
 
-def framed(payload: bytes) -> bytes:
-    if not 0 < len(payload) <= LONGEST:
-        raise ValueError(f"a payload of {len(payload)} bytes; 1 to {LONGEST} fit")
+def encode_frame(payload: bytes) -> bytes:
+    if not 0 < len(payload) <= MAX_PAYLOAD_BYTES:
+        raise ValueError(f"a payload of {len(payload)} bytes; 1 to {MAX_PAYLOAD_BYTES} fit")
     length = len(payload).to_bytes(4, "big")
     return FRAME.pack(len(payload), zlib.crc32(payload, zlib.crc32(length))) + payload
 
@@ -91,12 +91,12 @@
         return None
     length, checksum = FRAME.unpack_from(data, at)
     payload = data[at + FRAME.size : at + FRAME.size + length]
-    if not 0 < length <= LONGEST or len(payload) < length:
+    if not 0 < length <= MAX_PAYLOAD_BYTES or len(payload) < length:
         return None
     return payload if zlib.crc32(payload, zlib.crc32(data[at : at + 4])) == checksum else None
 
 
-def _last_whole(data: bytes, path: str) -> tuple[list[bytes], int]:
+def _read_frames(data: bytes, path: str) -> tuple[list[bytes], int]:
     """All frames, and where the last whole one ends. What follows it is a torn tail if no frame is found
     in it, and proof of damage otherwise: a single process appends in order."""
     at, payloads = HEADER.size, list[bytes]()
@@ -116,17 +116,17 @@
     def __init__(self, descriptor: int, size: int) -> None:
         self._descriptor, self._size = descriptor, size
 
-    def damaged(self) -> int | None:
+    def first_damaged_byte(self) -> int | None:
         """The first byte that can't be read on from, or None. Frame by frame: no memory for the whole."""
         with open(self._descriptor, "rb") as file:
             try:
-                if file.read(HEADER.size) != header():
+                if file.read(HEADER.size) != encode_header():
                     return 0
                 at = HEADER.size
                 while at < self._size:
                     head = file.read(FRAME.size)
                     length = FRAME.unpack(head)[0] if len(head) == FRAME.size else 0
-                    whole = head + file.read(min(length, LONGEST))
+                    whole = head + file.read(min(length, MAX_PAYLOAD_BYTES))
                     if (payload := _frame_at(whole, 0)) is None:
                         return at
                     at += FRAME.size + len(payload)
@@ -135,16 +135,16 @@
         return None
 
 
-class Log:
+class WriteAheadLog:
     """One file, one writer. `payloads`: what was read when it was opened."""
 
-    def __init__(self, path: str, disk: Disk | None = None) -> None:
-        self._path, self._disk = path, disk or Disk()
+    def __init__(self, path: str, disk: FileSystemCalls | None = None) -> None:
+        self._path, self._disk = path, disk or FileSystemCalls()
         self._descriptor, self._lock = -1, -1
-        self.size, self.payloads, self.cut = 0, list[bytes](), 0
+        self.size_bytes, self.payloads, self.discarded_bytes = 0, list[bytes](), 0
         self._failed = False
 
-    def open(self) -> Log:
+    def open(self) -> WriteAheadLog:
         """Makes the file if there is none. Raises LogTrouble, and leaves the file as it was then."""
         try:
             self._hold()
@@ -174,12 +174,12 @@
         self._descriptor = os.open(self._path, os.O_RDWR | os.O_CLOEXEC)
         data = Path(self._path).read_bytes()
         self._check_header(data)
-        self.payloads, whole = _last_whole(data, self._path)
-        self.cut = len(data) - whole
-        if self.cut:
+        self.payloads, whole = _read_frames(data, self._path)
+        self.discarded_bytes = len(data) - whole
+        if self.discarded_bytes:
             self._disk.truncate(self._descriptor, whole)
             self._disk.sync(self._descriptor)
-        self.size = whole
+        self.size_bytes = whole
         os.lseek(self._descriptor, whole, os.SEEK_SET)
 
     def _check_header(self, data: bytes) -> None:
@@ -193,11 +193,11 @@
             hint = "start the version that wrote it, or a later one"
             raise NewerLogError(self._path, f"format {version}, and {VERSION} is the newest known here", hint)
 
-    def look(self) -> LogInspection:
+    def inspect(self) -> LogInspection:
         """For reading again what is on the disk so far. Not beside a write of this process. Raises
         DiskTrouble."""
         try:
-            return LogInspection(os.open(self._path, os.O_RDONLY | os.O_CLOEXEC), self.size)
+            return LogInspection(os.open(self._path, os.O_RDONLY | os.O_CLOEXEC), self.size_bytes)
         except OSError as error:
             raise self._trouble(error) from error
 
@@ -206,15 +206,15 @@
         log, now or later; after a crash in it a beginning of them may be."""
         if self._failed or self._descriptor < 0:
             raise DiskError(self._path, "not open for writing", "open it again")
-        before = self.size
+        before = self.size_bytes
         try:
-            data = b"".join(map(framed, payloads))
+            data = b"".join(map(encode_frame, payloads))
             self._write(self._descriptor, data)
             self._disk.sync(self._descriptor)
         except OSError as error:
             self._undo(before)
             raise self._trouble(error) from error
-        self.size = before + len(data)
+        self.size_bytes = before + len(data)
 
     def _undo(self, whole: int) -> None:
         """What was written in part is taken back; where that fails too, nothing more is written behind it."""
@@ -239,18 +239,18 @@
             raise self._trouble(error) from error
         os.close(self._descriptor)
         self._descriptor, self._failed = descriptor, False
-        self.size = os.lseek(descriptor, 0, os.SEEK_END)
+        self.size_bytes = os.lseek(descriptor, 0, os.SEEK_END)
 
     def _make(self, payloads: list[bytes]) -> None:
         made = f"{self._path}.new"
         descriptor = os.open(made, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            self._write(descriptor, header() + b"".join(map(framed, payloads)))
+            self._write(descriptor, encode_header() + b"".join(map(encode_frame, payloads)))
             self._disk.sync(descriptor)
         finally:
             os.close(descriptor)
         self._disk.replace(made, self._path)
-        self._disk.sync_folder(os.path.dirname(os.path.abspath(self._path)))
+        self._disk.sync_directory(os.path.dirname(os.path.abspath(self._path)))
 
     def _trouble(self, error: OSError) -> DiskError:
         hints = {
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -14,12 +14,12 @@
 
 from lotusstream.cells.migration import Migration, MigrationStep
 from lotusstream.copies import messages as copies
-from lotusstream.copies.messages import Held
-from lotusstream.copies.shards import Holder, Place
+from lotusstream.copies.messages import RecordState
+from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.healthcheck.reports import HealthReports, Row
 from lotusstream.leases import table as leases
-from lotusstream.net.copies import _RECORDS as COPY_RECORD_DECODER
-from lotusstream.net.copies import Identity as CopiesIdentity
+from lotusstream.net.copies import _LOG_RECORD_DECODER as COPY_RECORD_DECODER
+from lotusstream.net.copies import DiskIdentity as CopiesIdentity
 from lotusstream.net.migrations import _STEPS as MOVE_DECODER
 from lotusstream.net.raft_node import _RECORDS as QUORUM_RECORD_DECODER
 from lotusstream.protocol import control, peers
@@ -91,30 +91,31 @@
 
 # Copies
 
-PLACES = (Place("g1", "g1-disk"), Place("g2", "g2-disk"), Place("g3", "g3-disk"))
+PLACES = (ReplicaId("g1", "g1-disk"), ReplicaId("g2", "g2-disk"), ReplicaId("g3", "g3-disk"))
 HOLDINGS = (
-    copies.Holding("key-1", "print", Held.SENT, "g1.session/7/0", 1_700_000_000_000_000),
-    copies.Holding("key-2", "print", Held.ANSWERED, "g1.session/8/0", 1_700_000_000_000_001, b"a\tb\tc\n",
-                   "east", 4, 1_600_000_000_000_000),
-    copies.Holding("key-3", "print", Held.UNRUN, "g1.session/9/0", 1_700_000_000_000_002),
+    copies.IdempotencyRecord("key-1", "print", RecordState.SENT, "g1.session/7/0", 1_700_000_000_000_000),
+    copies.IdempotencyRecord("key-2", "print", RecordState.ANSWERED, "g1.session/8/0", 1_700_000_000_000_001,
+                             b"a\tb\tc\n", "east", 4, 1_600_000_000_000_000),
+    copies.IdempotencyRecord("key-3", "print", RecordState.NOT_EXECUTED, "g1.session/9/0",
+                             1_700_000_000_000_002),
 )  # fmt: skip
-OPERATION = copies.Op(3, 17, HOLDINGS[1])
-ASSIGNED = copies.Assigned(1, 3, PLACES[0], "g1-disk.run", PLACES[1:2], PLACES[2:])
+OPERATION = copies.Operation(3, 17, HOLDINGS[1])
+ASSIGNED = copies.ShardAssignment(1, 3, PLACES[0], "g1-disk.run", PLACES[1:2], PLACES[2:])
 COPY_RECORDS = {
     "identity": CopiesIdentity("g1-disk"),
-    "operation": copies.KeptOp(1, OPERATION),
-    "snapshot": copies.KeptWhole(1, 3, 17, HOLDINGS, 1, 2),
+    "operation": copies.OperationLogRecord(1, OPERATION),
+    "snapshot": copies.SnapshotLogRecord(1, 3, 17, HOLDINGS, 1, 2),
 }
 COPY_WORDS = {
-    "begin": copies.Begin(ASSIGNED),
-    "stand": copies.Stand(1, 3, "g2-disk.run", 2, 16),
-    "fill": copies.Fill(1, 3, 4, 3, 17, HOLDINGS[:2], (OPERATION,), 1, 2, 99),
-    "filled": copies.Filled(1, 3, "g2-disk.run", 1),
-    "copy": copies.Copy(1, 3, OPERATION),
-    "copied": copies.Copied(1, 3, "g2-disk.run", 17),
-    "deposed": copies.Deposed(1, 4),
-    "compare": copies.Compare(1, 3, 17, 5, 1_700_000_000_000_000),
-    "compared": copies.Compared(1, 3, "g2-disk.run", 17, 5, bytes(range(16))),
+    "begin": copies.PositionRequest(ASSIGNED),
+    "stand": copies.PositionReply(1, 3, "g2-disk.run", 2, 16),
+    "fill": copies.CatchUpData(1, 3, 4, 3, 17, HOLDINGS[:2], (OPERATION,), 1, 2, 99),
+    "filled": copies.CatchUpPartAck(1, 3, "g2-disk.run", 1),
+    "copy": copies.Replicate(1, 3, OPERATION),
+    "copied": copies.ReplicateAck(1, 3, "g2-disk.run", 17),
+    "deposed": copies.StaleEpoch(1, 4),
+    "compare": copies.DigestRequest(1, 3, 17, 5, 1_700_000_000_000_000),
+    "compared": copies.DigestReply(1, 3, "g2-disk.run", 17, 5, bytes(range(16))),
 }
 
 # Frames between gateways
@@ -127,8 +128,8 @@
     "alter": peers.Alter(-4, "g4", True),
     "told": peers.Told(5, True, GRANTED, "g2", "why"),
     "told-view": peers.Told(-3, False, None, "", "", {"role": "leader", "term": 4}),
-    "beat": peers.Beat(9, Holder(PLACES[0], "machine", "zone"), "g1-disk.run", {1: (3, PLACES[1:])}, True,
-                       {2: (4, PLACES[2])}),
+    "beat": peers.Beat(9, ReplicaHost(PLACES[0], "machine", "zone"), "g1-disk.run", {1: (3, PLACES[1:])},
+                       True, {2: (4, PLACES[2])}),
     "beaten": peers.Beaten(9, (ASSIGNED,), {1: PLACES[0]}, {1: 3}),
     "keep": peers.Keep(21, True, HOLDINGS[1], "g2.session/1/0"),
     "kept": peers.Kept(21, "known", HOLDINGS[0], "why", "g2"),
@@ -213,7 +214,7 @@
            without_length(control.decode_request)),
     Family("control_replies", CONTROL_REPLIES, control.encode_reply, without_length(control.decode_reply)),
     Family("assignments", {"assigned": ASSIGNED}, msgspec.json.encode,
-           msgspec.json.Decoder(copies.Assigned).decode),
+           msgspec.json.Decoder(copies.ShardAssignment).decode),
     Family("lease_table", {"table": lease_table()}, lambda table: table.dump(),
            lambda data: leases.LeaseTable.load(data)),
 )  # fmt: skip
--- a/tests/golden/golden_stores.py
+++ b/tests/golden/golden_stores.py
@@ -10,7 +10,7 @@
 from golden_messages import HOLDINGS, CopiesIdentity, Kind, copies, lease_table, leases, quorum
 
 from lotusstream.quorum.replicated_log import write_members
-from lotusstream.wal.log import Log
+from lotusstream.wal.log import WriteAheadLog
 
 FOUNDERS = tuple(quorum.Member(f"g{at}", f"g{at}-disk") for at in (1, 2, 3))
 LEARNER = quorum.Member("g4", "g4-disk", False)
@@ -40,17 +40,17 @@
 )
 COPIES_LOG = (
     CopiesIdentity("g1-disk"),
-    copies.KeptOp(0, copies.Op(1, 1, HOLDINGS[0])),
-    copies.KeptWhole(0, 3, 17, HOLDINGS[:1], 0, 2),
-    copies.KeptWhole(0, 3, 17, HOLDINGS[1:2], 1, 2),
-    copies.KeptOp(0, copies.Op(3, 18, HOLDINGS[2])),
-    copies.KeptOp(1, copies.Op(2, 1, HOLDINGS[0])),
-    copies.KeptWhole(1, 4, 20, HOLDINGS[1:], 0, 2),  # its second part never came
+    copies.OperationLogRecord(0, copies.Operation(1, 1, HOLDINGS[0])),
+    copies.SnapshotLogRecord(0, 3, 17, HOLDINGS[:1], 0, 2),
+    copies.SnapshotLogRecord(0, 3, 17, HOLDINGS[1:2], 1, 2),
+    copies.OperationLogRecord(0, copies.Operation(3, 18, HOLDINGS[2])),
+    copies.OperationLogRecord(1, copies.Operation(2, 1, HOLDINGS[0])),
+    copies.SnapshotLogRecord(1, 4, 20, HOLDINGS[1:], 0, 2),  # its second part never came
 )
 MADE = {"quorum.log": QUORUM_LOG, "copies.log": COPIES_LOG}
 
 
 def write_log(path: Path, records: Iterable[Any]) -> None:
-    log = Log(str(path)).open()
+    log = WriteAheadLog(str(path)).open()
     log.append(*map(msgspec.msgpack.encode, records))
     log.close()
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -67,8 +67,8 @@
         (quorum.AnyBody, QUORUM_BODIES),
         (quorum.Record, QUORUM_RECORDS),
         (leases.AnyWish, LEASE_WISHES),
-        (copies.AnyWord, COPY_WORDS),
-        (copies.Record | CopiesIdentity, COPY_RECORDS),
+        (copies.ReplicaMessage, COPY_WORDS),
+        (copies.LogRecord | CopiesIdentity, COPY_RECORDS),
         (control.Asking, CONTROL_REQUESTS),
     ],
 )
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -12,15 +12,25 @@
 
 import pytest
 from golden_data import STORED
-from golden_messages import HOLDINGS, Held, Kind, Migration, MigrationStep, Place, copies, leases, quorum
+from golden_messages import (
+    HOLDINGS,
+    Kind,
+    Migration,
+    MigrationStep,
+    RecordState,
+    ReplicaId,
+    copies,
+    leases,
+    quorum,
+)
 from golden_stores import FOUNDERS, LEARNER, MADE, write_log
 
-from lotusstream.net.copies import _ASSIGNED as ASSIGNED_DECODER
-from lotusstream.net.copies import CopyStore
+from lotusstream.net.copies import _ASSIGNMENT_DECODER as ASSIGNED_DECODER
+from lotusstream.net.copies import ReplicaStore
 from lotusstream.net.migrations import read_moves
 from lotusstream.net.raft_node import open_store
 from lotusstream.quorum.replicated_log import Journal
-from lotusstream.wal.log import Log
+from lotusstream.wal.log import WriteAheadLog
 
 MEMBERS_OF_THE_RUN = (
     quorum.Member("g1", "g1-b09d130724b0"),
@@ -42,7 +52,7 @@
 def open_journal(folder: Path) -> tuple[str, int, str, Journal]:
     log, on_disk = open_store(str(folder))
     log.close()
-    assert on_disk.journal is not None and log.cut == 0
+    assert on_disk.journal is not None and log.discarded_bytes == 0
     return on_disk.disk, on_disk.term, on_disk.vote, on_disk.journal
 
 
@@ -85,39 +95,39 @@
 def test_the_assignments_of_a_run_are_read(stored: Path) -> None:
     notes = lease_table(open_journal(stored / "run")[-1]).notes
     assert list(notes) == ["plan", "shard/0", "shard/1"]
-    primary = Place("g2", "g2-fcd2f883137d")
-    backups = (Place("g1", "g1-494aaf027c67"), Place("g3", "g3-a672fa73a199"))
+    primary = ReplicaId("g2", "g2-fcd2f883137d")
+    backups = (ReplicaId("g1", "g1-494aaf027c67"), ReplicaId("g3", "g3-a672fa73a199"))
     for shard in (0, 1):
-        assert ASSIGNED_DECODER.decode(notes[f"shard/{shard}"].value) == copies.Assigned(
+        assert ASSIGNED_DECODER.decode(notes[f"shard/{shard}"].value) == copies.ShardAssignment(
             shard, 1, primary, "g2-fcd2f883137d.4cd769f1", backups, ()
         )
 
 
 def test_the_copies_of_a_run_are_read(stored: Path) -> None:
-    store = CopyStore(str(stored / "run"), "g3")
+    store = ReplicaStore(str(stored / "run"), "g3")
     store.close()
     assert (store.disk, store.damaged) == ("g3-a672fa73a199", "")
-    assert {number: (shard.last, shard.durable) for number, shard in store.shards.items()} == {
+    assert {number: (shard.position, shard.persisted_sequence) for number, shard in store.shards.items()} == {
         1: ((1, 3), 3),
         0: ((1, 2), 2),
     }
     until = (1_806_281_573_051_484, 1_806_281_573_062_198, 1_806_281_573_059_262)
-    assert list(store.shards[1].holdings.values()) == [
-        copies.Holding("key-1", "p", Held.ANSWERED, "g", until[0], b"answer to key-1"),
-        copies.Holding("key-3", "p", Held.SENT, "g", until[1]),
+    assert list(store.shards[1].records.values()) == [
+        copies.IdempotencyRecord("key-1", "p", RecordState.ANSWERED, "g", until[0], b"answer to key-1"),
+        copies.IdempotencyRecord("key-3", "p", RecordState.SENT, "g", until[1]),
     ]
-    assert list(store.shards[0].holdings.values()) == [
-        copies.Holding("key-2", "p", Held.ANSWERED, "g", until[2], b"answer to key-2"),
+    assert list(store.shards[0].records.values()) == [
+        copies.IdempotencyRecord("key-2", "p", RecordState.ANSWERED, "g", until[2], b"answer to key-2"),
     ]
 
 
 def test_the_moves_of_a_run_are_read_and_the_open_one_is_undone(stored: Path) -> None:
     path = stored / "run" / "moves"
-    log = Log(str(path)).open()
+    log = WriteAheadLog(str(path)).open()
     assert len(log.payloads) == 10
     assert read_moves(log, str(path), 5) == [MOVED]
     log.close()
-    again = Log(str(path)).open()
+    again = WriteAheadLog(str(path)).open()
     again.close()
     assert again.payloads == [
         b'{"tenant":"uni-a","source":"east","target":"west","step":"done","since":1796281588592928,'
@@ -153,10 +163,10 @@
 
 
 def test_a_shard_whose_last_part_is_missing_stays_as_it_was(stored: Path) -> None:
-    store = CopyStore(str(stored / "made"), "g1")
+    store = ReplicaStore(str(stored / "made"), "g1")
     store.close()
     assert (store.disk, store.damaged) == ("g1-disk", "")
-    assert list(store.shards[0].holdings.values()) == list(HOLDINGS)
-    assert (store.shards[0].last, store.shards[0].durable) == ((3, 18), 18)
-    assert list(store.shards[1].holdings.values()) == [HOLDINGS[0]]
-    assert (store.shards[1].last, store.shards[1].durable) == ((2, 1), 1)
+    assert list(store.shards[0].records.values()) == list(HOLDINGS)
+    assert (store.shards[0].position, store.shards[0].persisted_sequence) == ((3, 18), 18)
+    assert list(store.shards[1].records.values()) == [HOLDINGS[0]]
+    assert (store.shards[1].position, store.shards[1].persisted_sequence) == ((2, 1), 1)
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -313,6 +313,6 @@
 
 def test_the_shipped_file_of_copies_says_what_is_promised():
     told = read_operator_file((SHIPPED.parent / "copies.conf").read_text(), "copies.conf").fleet
-    assert (told.copies.copies, told.copies.promise, told.copies.shards) == (3, 2, 64)
+    assert (told.copies.replica_count, told.copies.commit_count, told.copies.shard_count) == (3, 2, 64)
     assert told.remember == 600_000_000
     assert {each.machine for each in told.holders} == {"m1", "m2", "m3"}
--- a/tests/record/test_log.py
+++ b/tests/record/test_log.py
@@ -13,21 +13,21 @@
 
 from lotusstream.wal.log import (
     CorruptLogError,
-    Disk,
     DiskError,
-    Log,
+    FileSystemCalls,
     LogInUseError,
     NewerLogError,
-    framed,
-    header,
+    WriteAheadLog,
+    encode_frame,
+    encode_header,
 )
 
 DRIVER = """
 import os, signal, sys
-from lotusstream.wal.log import Disk, Log
+from lotusstream.wal.log import FileSystemCalls, WriteAheadLog
 path, calls, torn = sys.argv[1], int(sys.argv[2]), sys.argv[3] == "torn"
 
-class Ending(Disk):
+class Ending(FileSystemCalls):
     left = calls
     def _count(self):
         Ending.left -= 1
@@ -44,10 +44,10 @@
         self._count(); super().truncate(descriptor, length)
     def replace(self, source, target):
         self._count(); super().replace(source, target)
-    def sync_folder(self, path):
-        self._count(); super().sync_folder(path)
+    def sync_directory(self, path):
+        self._count(); super().sync_directory(path)
 
-log = Log(path, Ending()).open()
+log = WriteAheadLog(path, Ending()).open()
 def say(what): os.write(1, what.encode() + b"\\n")
 for number in range(3):
     log.append(f"one {number}".encode()); say(f"one {number}")
@@ -79,17 +79,17 @@
         done = b"done" in ran.stdout
         assert done or ran.returncode == -signal.SIGKILL, ran.stderr
         promised = len([line for line in ran.stdout.splitlines() if line in STEPS])
-        with_log = Log(str(path)).open()
+        with_log = WriteAheadLog(str(path)).open()
         assert with_log.payloads in (state_after(promised), state_after(promised + 1))
         with_log.append(b"goes on")
         with_log.close()
-        assert Log(str(path)).open().payloads[-1] == b"goes on"
+        assert WriteAheadLog(str(path)).open().payloads[-1] == b"goes on"
         calls += 1
     assert calls > 15
 
 
 def written(path: Path) -> bytes:
-    log = Log(str(path)).open()
+    log = WriteAheadLog(str(path)).open()
     for payload in (b"first", b"second", b"third"):
         log.append(payload)
     log.close()
@@ -98,19 +98,19 @@
 
 def test_a_log_cut_at_any_byte_keeps_its_whole_frames_or_is_told_as_none(tmp_path: Path) -> None:
     whole = written(tmp_path / "log")
-    ends = [len(header())]
+    ends = [len(encode_header())]
     for payload in (b"first", b"second", b"third"):
-        ends.append(ends[-1] + len(framed(payload)))
+        ends.append(ends[-1] + len(encode_frame(payload)))
     for length in range(len(whole)):
         path = tmp_path / "cut"
         path.write_bytes(whole[:length])
         if length < ends[0]:
             with pytest.raises(CorruptLogError):
-                Log(str(path)).open()
+                WriteAheadLog(str(path)).open()
             continue
-        log = Log(str(path)).open()
+        log = WriteAheadLog(str(path)).open()
         assert log.payloads == [b"first", b"second", b"third"][: sum(end <= length for end in ends[1:])]
-        assert log.cut == length - max(end for end in ends if end <= length)
+        assert log.discarded_bytes == length - max(end for end in ends if end <= length)
         log.close()
 
 
@@ -121,7 +121,7 @@
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
         before = path.read_bytes()
         try:
-            log = Log(str(path)).open()
+            log = WriteAheadLog(str(path)).open()
         except (CorruptLogError, NewerLogError):
             assert path.read_bytes() == before
             continue
@@ -131,23 +131,23 @@
 
 def test_a_log_of_a_newer_version_is_left_alone(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    path.write_bytes(header(version=9) + framed(b"from the future"))
+    path.write_bytes(encode_header(version=9) + encode_frame(b"from the future"))
     with pytest.raises(
         NewerLogError, match="format 9, and 1 is the newest known here; start the version that wrote it"
     ):
-        Log(str(path)).open()
-    assert path.read_bytes() == header(version=9) + framed(b"from the future")
+        WriteAheadLog(str(path)).open()
+    assert path.read_bytes() == encode_header(version=9) + encode_frame(b"from the future")
 
 
 def test_one_process_at_a_time_holds_a_log(tmp_path: Path) -> None:
-    log = Log(str(tmp_path / "log")).open()
+    log = WriteAheadLog(str(tmp_path / "log")).open()
     with pytest.raises(LogInUseError):
-        Log(str(tmp_path / "log")).open()
+        WriteAheadLog(str(tmp_path / "log")).open()
     log.close()
-    Log(str(tmp_path / "log")).open().close()
+    WriteAheadLog(str(tmp_path / "log")).open().close()
 
 
-class FullDisk(Disk):
+class FullDisk(FileSystemCalls):
     """Has room for so many bytes more."""
 
     def __init__(self, room: int) -> None:
@@ -163,9 +163,9 @@
 
 def test_a_full_disk_refuses_what_does_not_fit_and_keeps_the_rest(tmp_path: Path) -> None:
     path = str(tmp_path / "log")
-    Log(path).open().close()
-    disk = FullDisk(len(framed(b"first")) + 5)
-    log = Log(path, disk).open()
+    WriteAheadLog(path).open().close()
+    disk = FullDisk(len(encode_frame(b"first")) + 5)
+    log = WriteAheadLog(path, disk).open()
     log.append(b"first")
     for refused in (lambda: log.append(b"second"), lambda: log.rewrite([b"other"])):
         with pytest.raises(DiskError, match="make room on the disk"):
@@ -173,18 +173,18 @@
     disk.room = 1000
     log.append(b"third")
     log.close()
-    assert Log(path).open().payloads == [b"first", b"third"]
+    assert WriteAheadLog(path).open().payloads == [b"first", b"third"]
 
 
 def test_a_folder_that_is_missing_is_told_with_what_would_do(tmp_path: Path) -> None:
     with pytest.raises(DiskError, match="make the folder first"):
-        Log(str(tmp_path / "none" / "log")).open()
+        WriteAheadLog(str(tmp_path / "none" / "log")).open()
 
 
 @pytest.mark.parametrize("payload", [b"", b"x" * (1 << 20) + b"x"])
 def test_a_payload_that_can_not_be_read_again_is_not_written(tmp_path: Path, payload: bytes) -> None:
-    log = Log(str(tmp_path / "log")).open()
+    log = WriteAheadLog(str(tmp_path / "log")).open()
     with pytest.raises(ValueError, match="1 to 1048576 fit"):
         log.append(payload)
-    assert log.size == len(header())
+    assert log.size_bytes == len(encode_header())
     log.close()
