--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -19,9 +19,8 @@
 from typing import Any
 
 from benchmarks.planted_copies import PLANTED, caught
-from lotusstream.copies import messages as ms
-from lotusstream.copies import replica as rp
-from lotusstream.copies.messages import IdempotencyRecord, RecordState
+from lotusstream.copies.messages import IdempotencyRecord, Operation, OperationLogRecord, RecordState
+from lotusstream.copies.replica_events import PersistLogRecords
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT, shard_of
 from lotusstream.lab.copies import play
 from lotusstream.lab.fleet.clients import Customers, Told
@@ -162,15 +161,15 @@
         records = []
         for at in range(first, min(first + batch, keys)):
             key = f"{at:032x}"
-            op = ms.Operation(
+            op = Operation(
                 1,
                 at + 1,
                 IdempotencyRecord(
                     key, "p" * 32, RecordState.ANSWERED, "g1.0123456789ab/1/1", until, b"x" * 60
                 ),
             )
-            records.append(ms.OperationLogRecord(shard_of(key, DEFAULT_SHARD_COUNT), op))
-        store.write([rp.PersistLogRecords(first, tuple(records))], None)
+            records.append(OperationLogRecord(shard_of(key, DEFAULT_SHARD_COUNT), op))
+        store.write([PersistLogRecords(first, tuple(records))], None)
     size = os.path.getsize(os.path.join(folder, "copies.log"))
     store.close()
     del store
--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -8,11 +8,20 @@
 from typing import Any
 from unittest import mock
 
-from lotusstream.copies import idempotency as cl
-from lotusstream.copies import messages as ms
-from lotusstream.copies.idempotency import ClaimCoordinator
-from lotusstream.copies.replica import ReplicaSet, ShardReplica
+from lotusstream.copies.catch_up import CatchUpSender
+from lotusstream.copies.idempotency import (
+    AttemptRequested,
+    ClaimCoordinator,
+    ClaimPhase,
+    DeliverAnswer,
+    RequestEnded,
+)
+from lotusstream.copies.messages import IdempotencyRecord, PositionReply, RecordState, ShardAssignment
+from lotusstream.copies.primary import PrimaryRole
+from lotusstream.copies.replica_context import ReplicaContext, ReplicaOutbox
+from lotusstream.copies.replica_events import ClaimRequested
 from lotusstream.copies.shard_controller import ShardController
+from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import shard_of
 from lotusstream.lab.copies import ReplicationScenario, ReplicationWorld, play
 from lotusstream.lab.world import Broken
@@ -28,46 +37,42 @@
 
 
 def _one_disk_is_enough() -> Any:
-    """Promised once the home's own disk has it."""
-    drive = ReplicaSet._drive
+    """An operation is committed once the primary's own disk has it."""
+    advance = PrimaryRole.advance
 
-    def hasty(self: ReplicaSet, shard: ShardReplica) -> None:
-        copied, shard.acknowledged = shard.acknowledged, dict.fromkeys(shard.followers(), 1 << 60)
-        drive(self, shard)
-        shard.acknowledged = copied
+    def advance_without_backups(self: PrimaryRole, shard: ShardReplica) -> None:
+        acknowledged = shard.acknowledged
+        shard.acknowledged = dict.fromkeys(shard.followers(), 1 << 60)
+        advance(self, shard)
+        shard.acknowledged = acknowledged
 
-    return mock.patch.object(ReplicaSet, "_drive", hasty)
+    return mock.patch.object(PrimaryRole, "advance", advance_without_backups)
 
 
 def _before_its_own_disk() -> Any:
-    """A copy says so before it has written a change down."""
-    say = ReplicaSet._say
-
-    def hasty(self: ReplicaSet, to: Any, word: Any, *, rests: bool) -> None:
-        say(self, to, word, rests=False)
-
-    return mock.patch.object(ReplicaSet, "_say", hasty)
+    """A backup acknowledges an operation before it has written it to its log."""
+    return mock.patch.object(ReplicaOutbox, "send_when_persisted", ReplicaOutbox.send)
 
 
 def _no_lease() -> Any:
-    """A home that is cut off goes on as one."""
-    return mock.patch.object(ReplicaSet, "has_lease", property(lambda self: True))
+    """A primary that is cut off goes on as one."""
+    return mock.patch.object(ReplicaContext, "has_lease", property(lambda self: True))
 
 
 def _joining_counts_at_once() -> Any:
     """A disk that is being filled may become the home."""
     mend = ShardController._mend
 
-    def eager(self: ShardController, now: int, known: ms.ShardAssignment, out: Any) -> bool:
+    def eager(self: ShardController, now: int, known: ShardAssignment, out: Any) -> bool:
         whole = replace_assigned(known)
         return mend(self, now, whole, out)
 
     return mock.patch.object(ShardController, "_mend", eager)
 
 
-def replace_assigned(known: ms.ShardAssignment) -> ms.ShardAssignment:
+def replace_assigned(known: ShardAssignment) -> ShardAssignment:
     backups = (*known.backups, *known.joining)
-    return ms.ShardAssignment(known.shard, known.epoch, known.primary, known.session, backups)
+    return ShardAssignment(known.shard, known.epoch, known.primary, known.session, backups)
 
 
 def _wiped_disk_counts() -> Any:
@@ -83,27 +88,27 @@
 
 
 def _unpromised_is_told() -> Any:
-    """Whoever asks hears of a change that is not on all disks yet."""
-    able = ReplicaSet._able
+    """A client is told of a record that is not on all disks yet."""
+    writable_shard = PrimaryRole._writable_shard
 
-    def open_to_all(self: ReplicaSet, ticket: int, key: str) -> ShardReplica | None:
-        shard = able(self, ticket, key)
+    def writable_and_readable(self: PrimaryRole, ticket: int, key: str) -> ShardReplica | None:
+        shard = writable_shard(self, ticket, key)
         if shard is not None:
             shard.uncommitted_keys.pop(key, None)
         return shard
 
-    return mock.patch.object(ReplicaSet, "_able", open_to_all)
+    return mock.patch.object(PrimaryRole, "_writable_shard", writable_and_readable)
 
 
 def _repair_from_what_is_behind() -> Any:
-    """A copy is taken for whole whatever it lacks."""
-    fill = ReplicaSet._fill
+    """A backup that lags counts as up to date."""
+    start = CatchUpSender.start
 
-    def stale(self: ReplicaSet, shard: ShardReplica, to: Any, stand: ms.PositionReply) -> None:
-        fill(self, shard, to, stand)
-        shard.acknowledged[to] = shard.position[1]
+    def start_and_count(self: CatchUpSender, shard: ShardReplica, to: Any, reply: PositionReply) -> None:
+        start(self, shard, to, reply)
+        shard.acknowledged[to] = shard.position.sequence
 
-    return mock.patch.object(ReplicaSet, "_fill", stale)
+    return mock.patch.object(CatchUpSender, "start", start_and_count)
 
 
 def _sent_before_the_promise() -> Any:
@@ -124,7 +129,7 @@
 
     def hasty(self: ClaimCoordinator, command: int, answer: bytes, by: int) -> None:
         answered(self, command, answer, by)
-        self._out.append(cl.DeliverAnswer(command, answer))
+        self._out.append(DeliverAnswer(command, answer))
 
     return mock.patch.object(ClaimCoordinator, "_answered", hasty)
 
@@ -133,8 +138,8 @@
     """Taken over without a word to the module: sent wherever it was to go."""
     known = ClaimCoordinator._known
 
-    def blind(self: ClaimCoordinator, kept: Any, holding: ms.IdempotencyRecord) -> None:
-        if kept.step is cl.ClaimPhase.CLAIMING and holding.state is ms.RecordState.SENT:
+    def blind(self: ClaimCoordinator, kept: Any, holding: IdempotencyRecord) -> None:
+        if kept.step is ClaimPhase.CLAIMING and holding.state is RecordState.SENT:
             self._claim(kept, holding.owner, holding.executing_since)
         else:
             known(self, kept, holding)
@@ -146,7 +151,7 @@
     """The claim goes on naming the place of the first send."""
     leaves = ClaimCoordinator._leaves
 
-    def lazy(self: ClaimCoordinator, told: cl.AttemptRequested) -> None:
+    def lazy(self: ClaimCoordinator, told: AttemptRequested) -> None:
         kept = self._kept.get(told.request)
         if kept is not None and kept.mine is not None:
             kept.told, kept.waits = told, told.attempt
@@ -158,23 +163,22 @@
 
 
 def _any_claim_takes_over() -> Any:
-    """A home that does not compare before it sets."""
-    claim = ReplicaSet._claim
+    """A primary that does not compare the previous owner before it replaces a claim."""
+    on_claim_requested = PrimaryRole.on_claim_requested
 
-    def open_to_all(
-        self: ReplicaSet, ticket: int, wanted: ms.IdempotencyRecord, unix: int, after: str
-    ) -> None:
-        number = shard_of(wanted.key, self._terms.shard_count)
-        known = self._shard(number).records.get(wanted.key)
-        claim(self, ticket, wanted, unix, known.owner if known is not None else after)
+    def claim_always(self: PrimaryRole, request: ClaimRequested) -> None:
+        shard = self._context.shard(shard_of(request.record.key, self._context.options.shard_count))
+        known = shard.records.get(request.record.key)
+        owner = known.owner if known is not None else request.previous_owner
+        on_claim_requested(self, replace(request, previous_owner=owner))
 
-    return mock.patch.object(ReplicaSet, "_claim", open_to_all)
+    return mock.patch.object(PrimaryRole, "on_claim_requested", claim_always)
 
 
 def _taken_back_though_it_ran() -> Any:
     over = ClaimCoordinator._over
 
-    def careless(self: ClaimCoordinator, told: cl.RequestEnded) -> None:
+    def careless(self: ClaimCoordinator, told: RequestEnded) -> None:
         over(self, replace(told, may_have_executed=False, unfinished_attempts=frozenset()))
 
     return mock.patch.object(ClaimCoordinator, "_over", careless)
--- /dev/null
+++ b/lotusstream/copies/replica_context.py
@@ -0,0 +1,144 @@
+"""State that the roles of one replica share: identity, time, lease, shards, and actions on their way out."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+
+from lotusstream.copies.messages import LogRecord, ReplicaMessage, StaleEpoch
+from lotusstream.copies.replica_events import Action, NotCommitted, PersistLogRecords, SendReplicaMessage
+from lotusstream.copies.shard_controller import ReplicationOptions
+from lotusstream.copies.shard_replica import ShardReplica
+from lotusstream.copies.shards import ReplicaId
+
+# Reasons that more than one place gives; they are read by peers and operators
+REASON_NO_ACKNOWLEDGEMENT = "its copies do not answer"
+REASON_MORE_ADVANCED = "another disk has more"
+REASON_REASSIGNED = "another home has been agreed on"
+
+
+@dataclass(slots=True)
+class _PendingWrite:
+    """A write of the log that is not on the disk yet."""
+
+    write_number: int
+    sequences: dict[int, int]  # by shard: its newest sequence once this is persisted
+    actions: list[Action]  # what may leave only then
+
+
+class ReplicaOutbox:
+    """Collects the actions of one event. Those that confirm something wait until it is on the own disk."""
+
+    def __init__(self) -> None:
+        self._actions: list[Action] = []
+        self._deferred: list[Action] = []
+        self._unsaved: list[LogRecord] = []
+        self._pending_writes: deque[_PendingWrite] = deque()
+        self._write_number = 0
+
+    def begin(self) -> None:
+        """Start to collect for a new event."""
+        self._actions = []
+        self._deferred = []
+
+    def emit(self, action: Action) -> None:
+        """Add an action that leaves at once."""
+        self._actions.append(action)
+
+    def persist(self, *records: LogRecord) -> None:
+        """Add records to the next write of the log."""
+        self._unsaved += records
+
+    def send(self, to: ReplicaId, message: ReplicaMessage) -> None:
+        """Send a message at once."""
+        self._actions.append(SendReplicaMessage(to, message))
+
+    def send_when_persisted(self, to: ReplicaId, message: ReplicaMessage) -> None:
+        """Send a message once all that was to be written up to now is on the disk."""
+        self._deferred.append(SendReplicaMessage(to, message))
+
+    def complete_writes(self, write_number: int) -> dict[int, int]:
+        """Release what waited for the writes up to this number.
+
+        :returns: by shard, the newest sequence that is on the disk now.
+        """
+        sequences: dict[int, int] = {}
+        while self._pending_writes and self._pending_writes[0].write_number <= write_number:
+            write = self._pending_writes.popleft()
+            sequences.update(write.sequences)
+            self._actions += write.actions
+        return sequences
+
+    def finish(self, shards: dict[int, ShardReplica]) -> list[Action]:
+        """Return the actions of the event, with one write for all its log records."""
+        if self._unsaved:
+            self._write_number += 1
+            self._actions.append(PersistLogRecords(self._write_number, tuple(self._unsaved)))
+            sequences = {record.shard: shards[record.shard].position.sequence for record in self._unsaved}
+            self._pending_writes.append(_PendingWrite(self._write_number, sequences, self._deferred))
+            self._unsaved = []
+        elif self._deferred and self._pending_writes:
+            self._pending_writes[-1].actions.extend(self._deferred)
+        else:
+            self._actions += self._deferred
+        return self._actions
+
+
+@dataclass(slots=True)
+class ReplicaContext:
+    """Shared by the roles of one replica. Times are microseconds of its own clock."""
+
+    replica_id: ReplicaId  # of this gateway and disk
+    session: str  # of this run of the program
+    options: ReplicationOptions
+    shards: dict[int, ShardReplica]  # by number
+    now: int
+    lease_until: int = 0
+    shutting_down: bool = False
+    outbox: ReplicaOutbox = field(default_factory=ReplicaOutbox)
+    touched: set[int] | None = field(default_factory=set)  # shards that the event is about; None: all
+
+    @property
+    def has_lease(self) -> bool:
+        """Whether this replica may commit anything at this moment."""
+        return self.now < self.lease_until and not self.shutting_down
+
+    def touch(self, number: int) -> None:
+        """Note that the event is about this shard."""
+        if self.touched is not None:
+            self.touched.add(number)
+
+    def shard(self, number: int) -> ShardReplica:
+        """Return the shard, an empty one where nothing is held of it."""
+        return self.shards.setdefault(number, ShardReplica(number))
+
+    def is_primary(self, shard: ShardReplica) -> bool:
+        """Whether this run is the primary: a run that begins anew needs another epoch first."""
+        assignment = shard.assignment
+        if assignment is None or shard.deposed:
+            return False
+        return assignment.primary == self.replica_id and assignment.session == self.session
+
+    def is_primary_in(self, shard: ShardReplica, epoch: int) -> bool:
+        """Whether this run is the primary in exactly this epoch."""
+        assignment = shard.assignment
+        return self.is_primary(shard) and assignment is not None and assignment.epoch == epoch
+
+    def fail_pending(self, shard: ShardReplica, reason: str) -> None:
+        """Answer all requests that wait for a commit.
+
+        Their operations may be on the next primary's disk, so that the outcome is unknown.
+        """
+        primary = shard.assignment.primary.name if shard.assignment else ""
+        for pending in shard.pending_commits:
+            self.outbox.emit(NotCommitted(pending.ticket, reason, primary, True))
+        shard.pending_commits.clear()
+        shard.uncommitted_keys = {}
+
+    def send_stale_epoch(self, to: ReplicaId, number: int, epoch: int) -> None:
+        """Tell the sender of a message of this epoch about a later one, if one is known."""
+        shard = self.shard(number)
+        assigned_epoch = shard.assignment.epoch if shard.assignment else 0
+        newest = max(assigned_epoch, shard.position.epoch)
+        if newest > epoch:
+            self.outbox.send(to, StaleEpoch(number, newest))
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -10,14 +10,55 @@
 
 import msgspec
 
-from lotusstream.copies import idempotency as cl
-from lotusstream.copies import messages as ms
-from lotusstream.copies import replica as rp
-from lotusstream.copies import shard_controller as mg
+from lotusstream.copies import idempotency, replica_events
 from lotusstream.copies.anti_entropy import RANGE_COUNT
-from lotusstream.copies.messages import ShardAssignment
-from lotusstream.copies.replica import ReplicaSet, recover_shards
-from lotusstream.copies.shard_controller import ReplicationOptions, ShardController
+from lotusstream.copies.idempotency import (
+    AbandonRequest,
+    AttemptRequested,
+    ClaimCoordinator,
+    ClaimOptions,
+    ClaimTimeAdvanced,
+    DeliverAnswer,
+    EndpointAnswered,
+    PrimaryReplied,
+    ReleaseAttempt,
+    ReportEarlierExecution,
+    RequestEnded,
+    ReturnAttempt,
+    SendToPrimary,
+    WithholdAnswer,
+)
+from lotusstream.copies.messages import IdempotencyRecord, LogRecord, ReplicaMessage, ShardAssignment
+from lotusstream.copies.replica import ReplicaSet
+from lotusstream.copies.replica_events import (
+    AlreadyRecorded,
+    AssignmentLearned,
+    ClaimRequested,
+    Committed,
+    CompletionRequested,
+    LeaseRenewed,
+    LogWritePersisted,
+    MessageReceived,
+    NotCommitted,
+    PersistLogRecords,
+    ReplicaTimeAdvanced,
+    ReportDivergence,
+    SendReplicaMessage,
+    ShutdownStarted,
+)
+from lotusstream.copies.shard_controller import (
+    AssignmentAgreed,
+    AssignmentRejected,
+    AssignmentsLoaded,
+    ControllerTimeAdvanced,
+    GrantReplicaLease,
+    HeartbeatReceived,
+    LoadAssignments,
+    ProposeAssignment,
+    ReplicationOptions,
+    ShardController,
+)
+from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.lab.world import MS, Node, S, Span, World
 from lotusstream.leases.granter import LeaseTerms
@@ -74,8 +115,8 @@
 
 @dataclass(slots=True)
 class SimulatedDisk:
-    synced: list[ms.LogRecord] = field(default_factory=list)
-    writing: list[rp.PersistLogRecords] = field(default_factory=list)
+    synced: list[LogRecord] = field(default_factory=list)
+    writing: list[PersistLogRecords] = field(default_factory=list)
 
 
 class GatewayNode(Node):
@@ -85,7 +126,7 @@
         self.lied_until = 0  # until others have filled it anew
         self.replicas: ReplicaSet
         self.holder: ReplicaHost
-        self.claims: cl.ClaimCoordinator
+        self.claims: ClaimCoordinator
         self.flows: dict[int, SimulatedRequest] = {}
 
 
@@ -185,14 +226,14 @@
             session = f"{node.disk_name}.{node.run}"
             node.replicas = ReplicaSet(place, session, self.scene.terms, shards, now)
             node.flows = {}
-            terms = cl.ClaimOptions(
+            terms = ClaimOptions(
                 self.scene.terms.shard_count, self.scene.terms.replica_count, 300 * MS, 40 * MS
             )
             holders = [
                 ReplicaHost(ReplicaId(f"g{at}", ""), f"g{at}", f"z{at % self.scene.zones}")
                 for at in range(self.scene.gateways)
             ]
-            node.claims = cl.ClaimCoordinator(session, holders, terms)
+            node.claims = ClaimCoordinator(session, holders, terms)
             self._beat(node)
             self._tick(node)
         elif node is self.chief:
@@ -202,64 +243,64 @@
             self._next(node)
 
     def _tick(self, node: GatewayNode) -> None:
-        self._tell(node, rp.ReplicaTimeAdvanced(self.now))
-        self._claim(node, cl.ClaimTimeAdvanced())
+        self._tell(node, ReplicaTimeAdvanced(self.now))
+        self._claim(node, ClaimTimeAdvanced())
         self.after(40 * MS, self._on(node, lambda: self._tick(node)))
 
     def _tell(self, node: GatewayNode, event: Any) -> None:
         for action in node.replicas.handle(node.clock(self.now), event):
             match action:
-                case rp.PersistLogRecords():
+                case PersistLogRecords():
                     node.disk.writing.append(action)
                     span = self.draw.randint(MS, self.scene.sync)
                     self.after(span, self._on(node, self._syncing(node, action)))
-                case rp.SendReplicaMessage(to, word):
+                case SendReplicaMessage(to, word):
                     self._to_place(node, to, word)
-                case rp.Committed(ticket):
+                case Committed(ticket):
                     self._outcome(node, ticket, "promised")
-                case rp.AlreadyRecorded(ticket, holding):
+                case AlreadyRecorded(ticket, holding):
                     self._outcome(node, ticket, "known", holding)
-                case rp.NotCommitted(ticket, why, home, maybe):
+                case NotCommitted(ticket, why, home, maybe):
                     self._outcome(node, ticket, "maybe" if maybe else "unkept", None, why, home)
-                case rp.ReportDivergence(shard, filled, _):
+                case ReportDivergence(shard, filled, _):
                     self.judge.differ += 1
                     if "flip" not in self.scene.faults:
                         self.fails(f"copies of shard {shard} differ, {filled} from {node.name}")
 
-    def _syncing(self, node: GatewayNode, save: rp.PersistLogRecords) -> Callable[[], None]:
+    def _syncing(self, node: GatewayNode, save: PersistLogRecords) -> Callable[[], None]:
         def synced() -> None:
             while save in node.disk.writing:
                 node.disk.synced += node.disk.writing.pop(0).records
-            self._tell(node, rp.LogWritePersisted(save.write_number))
+            self._tell(node, LogWritePersisted(save.write_number))
 
         return synced
 
-    def _to_place(self, source: GatewayNode, to: ReplicaId, word: ms.ReplicaMessage) -> None:
+    def _to_place(self, source: GatewayNode, to: ReplicaId, word: ReplicaMessage) -> None:
         target, place = self.gateways[to.name], source.holder.replica_id
 
         def arrive() -> None:
             if target.disk_name == to.disk:
-                self._tell(target, rp.MessageReceived(place, word))
+                self._tell(target, MessageReceived(place, word))
 
         self._deliver(source, target, arrive)
 
     # The manager, and beacons
 
     def _manage(self) -> None:
-        self._decide(mg.ControllerTimeAdvanced())
+        self._decide(ControllerTimeAdvanced())
         self.after(50 * MS, self._on(self.chief, self._manage))
 
     def _decide(self, event: Any, sent: int = 0) -> None:
         """`sent`: by its holder's clock, where it is a beacon."""
         for action in self.manager.handle(self.chief.clock(self.now), event):
             match action:
-                case mg.ProposeAssignment(assigned):
+                case ProposeAssignment(assigned):
                     manager = self.manager
                     self.after(self.draw.randint(5 * MS, 30 * MS), self._agreeing(manager, assigned))
-                case mg.LoadAssignments():
+                case LoadAssignments():
                     manager = self.manager
                     self.after(self.draw.randint(5 * MS, 30 * MS), self._finding(manager))
-                case mg.GrantReplicaLease(place, session, epochs):
+                case GrantReplicaLease(place, session, epochs):
                     node = self.gateways[place.name]
                     self._deliver(self.chief, node, self._leasing(node, session, sent, epochs))
 
@@ -273,7 +314,7 @@
                 self.agreed[assigned.shard] = assigned
                 for place in assigned.members:
                     self._learning(place, assigned)
-            event = mg.AssignmentAgreed(assigned) if good else mg.AssignmentRejected(assigned.shard, known)
+            event = AssignmentAgreed(assigned) if good else AssignmentRejected(assigned.shard, known)
             if manager is self.manager and self.chief.up and not self.chief.stopped:
                 self._decide(event)
 
@@ -282,18 +323,18 @@
     def _finding(self, manager: ShardController) -> Callable[[], None]:
         def find() -> None:
             if manager is self.manager and self.chief.up and not self.chief.stopped:
-                self._decide(mg.AssignmentsLoaded(tuple(self.agreed.values())))
+                self._decide(AssignmentsLoaded(tuple(self.agreed.values())))
 
         return find
 
     def _learning(self, place: ReplicaId, assigned: ShardAssignment) -> None:
         node = self.gateways[place.name]
-        self._deliver(self.chief, node, lambda: self._tell(node, rp.AssignmentLearned(assigned)))
+        self._deliver(self.chief, node, lambda: self._tell(node, AssignmentLearned(assigned)))
 
     def _leasing(self, node: GatewayNode, session: str, sent: int, epochs: Any) -> Callable[[], None]:
         def lease() -> None:
             if session == node.replicas.session:
-                self._tell(node, rp.LeaseRenewed(sent, epochs))
+                self._tell(node, LeaseRenewed(sent, epochs))
 
         return lease
 
@@ -301,7 +342,7 @@
         """The lease counts from when the beacon was sent that is answered."""
         now = node.clock(self.now)
         joined = node.replicas.caught_up_replicas()
-        beacon = mg.HeartbeatReceived(
+        beacon = HeartbeatReceived(
             node.holder,
             node.replicas.session,
             joined,
@@ -367,7 +408,7 @@
         zone = f"p{flow.place}"
         self._claim(
             node,
-            cl.AttemptRequested(
+            AttemptRequested(
                 flow.number, flow.send, flow.key, "p", zone, -1, self.now, until, by, not flow.once
             ),
         )
@@ -375,41 +416,41 @@
     def _end(self, node: GatewayNode, flow: SimulatedRequest) -> None:
         if node.flows.pop(flow.number, None) is not None:
             by = self.now + 2 * S
-            self._claim(node, cl.RequestEnded(flow.number, flow.ran, frozenset(flow.out), by))
+            self._claim(node, RequestEnded(flow.number, flow.ran, frozenset(flow.out), by))
 
-    def _claim(self, node: GatewayNode, event: cl.Event) -> None:
+    def _claim(self, node: GatewayNode, event: idempotency.Event) -> None:
         for action in node.claims.handle(self.now, event):
-            flow = None if isinstance(action, cl.SendToPrimary) else node.flows.get(action.request)
+            flow = None if isinstance(action, SendToPrimary) else node.flows.get(action.request)
             match action:
-                case cl.SendToPrimary():
+                case SendToPrimary():
                     self._ask_home(node, action)
-                case cl.ReleaseAttempt() if flow is not None:
+                case ReleaseAttempt() if flow is not None:
                     run = self._on(node, self._running(node, flow, flow.send, flow.place))
                     self.after(self.draw.randint(5 * MS, self.scene.work), run)
-                case cl.ReturnAttempt(_, send) if flow is not None:
+                case ReturnAttempt(_, send) if flow is not None:
                     flow.out.discard(send)
                     if flow.earlier is not None:
                         self.after(MS, self._on(node, self._sending(node, flow)))
-                case cl.ReportEarlierExecution(_, zone, _, since) if flow is not None:
+                case ReportEarlierExecution(_, zone, _, since) if flow is not None:
                     flow.earlier = (int(zone[1:]), since)
                     self.judge.taken_over += 1
-                case cl.DeliverAnswer(_, answer) if flow is not None:
+                case DeliverAnswer(_, answer) if flow is not None:
                     self._reply(node, flow, answer)
                     self._end(node, flow)
-                case cl.AbandonRequest() | cl.WithholdAnswer() if flow is not None:
+                case AbandonRequest() | WithholdAnswer() if flow is not None:
                     self._end(node, flow)
 
     def _sending(self, node: GatewayNode, flow: SimulatedRequest) -> Callable[[], None]:
         return lambda: self._send(node, flow) if flow.number in node.flows else None
 
-    def _ask_home(self, node: GatewayNode, ask: cl.SendToPrimary) -> None:
+    def _ask_home(self, node: GatewayNode, ask: SendToPrimary) -> None:
         self._tickets += 1
         ticket, home = self._tickets, self.gateways[ask.host]
         self._asks[ticket] = (node, ask.number, node.run)
         if ask.completes:
-            event: rp.Event = rp.CompletionRequested(ticket, ask.record, self.now)
+            event: replica_events.Event = CompletionRequested(ticket, ask.record, self.now)
         else:
-            event = rp.ClaimRequested(ticket, ask.record, self.now, ask.previous_owner)
+            event = ClaimRequested(ticket, ask.record, self.now, ask.previous_owner)
         self._deliver(node, home, lambda: self._tell(home, event))
 
     def _outcome(
@@ -417,13 +458,13 @@
         home: GatewayNode,
         ticket: int,
         what: str,
-        holding: ms.IdempotencyRecord | None = None,
+        holding: IdempotencyRecord | None = None,
         why: str = "",
         hint: str = "",
     ) -> None:
         to, number, run = self._asks.get(ticket, (None, 0, 0))
         if to is not None:
-            heard = cl.PrimaryReplied(number, what, holding, why, hint)
+            heard = PrimaryReplied(number, what, holding, why, hint)
             self._deliver(home, to, lambda: self._claim(to, heard) if to.run == run else None)
 
     def _running(
@@ -458,7 +499,7 @@
         def back(answer: bytes) -> None:
             flow.out.discard(send)
             if flow.number in node.flows:
-                self._claim(node, cl.EndpointAnswered(flow.number, answer, flow.asked + self.scene.patience))
+                self._claim(node, EndpointAnswered(flow.number, answer, flow.asked + self.scene.patience))
 
         return ran
 
@@ -505,7 +546,7 @@
         node = self.draw.choice(list(self.gateways.values()))
         if not node.up or node.stopped:
             return
-        self._tell(node, rp.ShutdownStarted())
+        self._tell(node, ShutdownStarted())
         self._beacon(node)
 
         def end() -> None:
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -10,7 +10,24 @@
 from hashlib import blake2b
 
 from lotusstream import interface as api
-from lotusstream.copies import idempotency as cl
+from lotusstream.copies import idempotency
+from lotusstream.copies.idempotency import (
+    AbandonRequest,
+    AttemptCancelled,
+    AttemptRequested,
+    ClaimCoordinator,
+    ClaimOptions,
+    ClaimTimeAdvanced,
+    DeliverAnswer,
+    EndpointAnswered,
+    PrimaryReplied,
+    ReleaseAttempt,
+    ReportEarlierExecution,
+    RequestEnded,
+    ReturnAttempt,
+    SendToPrimary,
+    WithholdAnswer,
+)
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.deployment import Deployment
 from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
@@ -54,8 +71,8 @@
         self._decider, self._clock, self._tell = decider, clock, tell
         holders = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in told.holders]
         patience = told.patience // CLAIM_TIME_DIVISOR
-        terms = cl.ClaimOptions(told.copies.shard_count, told.copies.replica_count, patience, patience // 8)
-        self.claims = cl.ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
+        terms = ClaimOptions(told.copies.shard_count, told.copies.replica_count, patience, patience // 8)
+        self.claims = ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
         self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
         self._armed: tuple[int, asyncio.TimerHandle] | None = None
 
@@ -69,7 +86,7 @@
             case AttemptReady():
                 self._departs(message)
             case AttemptControl(actor, AbortAttempt(command, number)) if (command, number) in self._waiting:
-                self._take(cl.AttemptCancelled(command, number))
+                self._take(AttemptCancelled(command, number))
             case AttemptControl(actor, ChangePriority(command, number, priority)) if (
                 command,
                 number,
@@ -81,13 +98,13 @@
             case AnswerReceived(command, rows, ends_by, given):
                 now = self._clock.now()
                 by = max(ends_by - given // RESERVED_TIME_DIVISOR, (now + ends_by) // 2)
-                self._take(cl.EndpointAnswered(command, rows, by))
+                self._take(EndpointAnswered(command, rows, by))
             case RequestClosed(command, ran, out, given):
-                self._take(cl.RequestEnded(command, ran, out, self._clock.now() + given))
+                self._take(RequestEnded(command, ran, out, self._clock.now() + given))
             case wire.Kept(number, what, holding, why, home):
-                self._take(cl.PrimaryReplied(number, what, holding, why, home))
+                self._take(PrimaryReplied(number, what, holding, why, home))
             case _ClaimTimerFired():
-                self._take(cl.ClaimTimeAdvanced())
+                self._take(ClaimTimeAdvanced())
 
     def _departs(self, message: AttemptReady) -> None:
         start, taken, engine = message.start, message.taken, message.engine
@@ -107,38 +124,38 @@
         by = now + (taken.ends_by - now) // CLAIM_TIME_DIVISOR
         again = profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         self._take(
-            cl.AttemptRequested(
+            AttemptRequested(
                 start.command, start.number, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
                 now, until, by, again,
             )
         )  # fmt: skip
 
-    def _take(self, event: cl.Event) -> None:
+    def _take(self, event: idempotency.Event) -> None:
         counters, post = self.supervisor.counters, self._decider.post
         for action in self.claims.handle(self._clock.now(), event):
             match action:
-                case cl.SendToPrimary(holder, number, finish, holding, after):
+                case SendToPrimary(holder, number, finish, holding, after):
                     self._tell(holder, wire.Keep(number, finish, holding, after))
-                case cl.ReleaseAttempt(command, send):
+                case ReleaseAttempt(command, send):
                     start, actor = self._waiting.pop((command, send))
                     counters.add("sends promised")
                     counters.peak("wait for a promise, us", self._clock.now() - start.at)
                     actor.post(replace(start, at=self._clock.now()))
-                case cl.ReturnAttempt(command, send):
+                case ReturnAttempt(command, send):
                     _, actor = self._waiting.pop((command, send))
                     post(AttemptFinished(command, send, actor.engine, Outcome.MOOT, 0))
-                case cl.ReportEarlierExecution(command, zone, cell, since):
+                case ReportEarlierExecution(command, zone, cell, since):
                     counters.add("commands that may have run elsewhere")
                     zones = self._deployment.zones
                     at = zones.index(zone) if zone in zones else UNKNOWN_INDEX
                     post(SubsystemEvent(api.ExecutedElsewhere(command, at, cell, since)))
-                case cl.AbandonRequest(command, why):
+                case AbandonRequest(command, why):
                     counters.add("commands that nothing can be promised for")
                     self.supervisor.log.say("promises", f"given up: {why}", reason=why)
                     post(SubsystemEvent(api.RequestWithdrawn(command)))
-                case cl.DeliverAnswer(command, answer):
+                case DeliverAnswer(command, answer):
                     post(AnswerReady(command, answer, ""))
-                case cl.WithholdAnswer(command, why):
+                case WithholdAnswer(command, why):
                     counters.add("answers withheld")
                     post(AnswerReady(command, None, why))
         self._arm()
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -14,12 +14,46 @@
 
 import msgspec
 
-from lotusstream.copies import messages as ms
-from lotusstream.copies import replica as rp
-from lotusstream.copies import shard_controller as mg
-from lotusstream.copies.messages import ShardAssignment
-from lotusstream.copies.replica import ReplicaSet, recover_shards
-from lotusstream.copies.shard_controller import ReplicationOptions, ShardController
+from lotusstream.copies import replica_events
+from lotusstream.copies.messages import (
+    LogRecord,
+    OperationLogRecord,
+    ShardAssignment,
+    SnapshotLogRecord,
+    snapshot_log_records,
+)
+from lotusstream.copies.replica import ReplicaSet
+from lotusstream.copies.replica_events import (
+    AlreadyRecorded,
+    AssignmentLearned,
+    ClaimRequested,
+    Committed,
+    CompletionRequested,
+    LeaseRenewed,
+    LogWritePersisted,
+    MessageReceived,
+    NotCommitted,
+    PersistLogRecords,
+    ReplicaTimeAdvanced,
+    ReportDivergence,
+    SendReplicaMessage,
+    ShutdownStarted,
+)
+from lotusstream.copies.shard_controller import (
+    AssignmentAgreed,
+    AssignmentRejected,
+    AssignmentsLoaded,
+    ControllerTimeAdvanced,
+    GrantReplicaLease,
+    HeartbeatReceived,
+    LoadAssignments,
+    MachinesDrained,
+    ProposeAssignment,
+    ReplicationOptions,
+    ReportRedundancy,
+    ShardController,
+)
+from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId, shard_of
 from lotusstream.net import clock, raft_node
 from lotusstream.net.actor import Actor, Supervisor
@@ -39,8 +73,8 @@
     disk: str
 
 
-_LOG_RECORD_DECODER: msgspec.msgpack.Decoder[DiskIdentity | ms.OperationLogRecord | ms.SnapshotLogRecord]
-_LOG_RECORD_DECODER = msgspec.msgpack.Decoder(DiskIdentity | ms.OperationLogRecord | ms.SnapshotLogRecord)
+_LOG_RECORD_DECODER: msgspec.msgpack.Decoder[DiskIdentity | OperationLogRecord | SnapshotLogRecord]
+_LOG_RECORD_DECODER = msgspec.msgpack.Decoder(DiskIdentity | OperationLogRecord | SnapshotLogRecord)
 
 PutNote = Callable[
     [str, int, str, int], Awaitable[str]
@@ -77,7 +111,7 @@
         self._writing = threading.Lock()
         self._least = max(1 << 20, 2 * self._log.size_bytes)
 
-    def write(self, saves: list[rp.PersistLogRecords], whole: list[ms.LogRecord] | None) -> None:
+    def write(self, saves: list[PersistLogRecords], whole: list[LogRecord] | None) -> None:
         """`whole`: all shards as they are, where the log is to be written anew. Raises DiskTrouble."""
         with self._writing:
             if whole is not None:
@@ -139,7 +173,7 @@
         session = f"{self._store.disk}.{uuid.uuid4().hex[:8]}"
         place = self.holder.replica_id
         self.replicas = ReplicaSet(place, session, terms, self._store.shards, clock.boot_clock())
-        self._saves: list[rp.PersistLogRecords] = []
+        self._saves: list[PersistLogRecords] = []
         self._saving = self._anew = False  # anew: the log is to be written whole
         self._armed: asyncio.TimerHandle | None = None  # for what waits for the told pace
         self._failed = ""
@@ -179,7 +213,7 @@
                 leases = {row["task"]: row["holder"] for row in (view or {}).get("leases", [])}
                 self.manager = leases.get("copies", "")
             self._beacon()
-            self.post(rp.ReplicaTimeAdvanced(time.time_ns() // 1000))
+            self.post(ReplicaTimeAdvanced(time.time_ns() // 1000))
             await asyncio.sleep(length / US / 8)
 
     def _beacon(self) -> None:
@@ -202,13 +236,13 @@
 
     def leave(self) -> None:
         """A planned stop: others are home of its shards at once, not only once its lease is over."""
-        self.post(rp.ShutdownStarted())
+        self.post(ShutdownStarted())
 
     def heard(self, frame: wire.AnyFrame, answer: Callable[[wire.AnyFrame], None]) -> None:
         match frame:
             case wire.Word(source, to, word):
                 if to == self.holder.replica_id:
-                    self.post(rp.MessageReceived(source, word))
+                    self.post(MessageReceived(source, word))
             case wire.Keep():
                 self.post(_ClaimFrameReceived(frame, answer))
             case wire.Beaten():
@@ -223,24 +257,24 @@
                 self._tickets[self._ticket] = (frame, answer)
                 unix = time.time_ns() // 1000
                 if frame.finish:
-                    self._take(rp.CompletionRequested(self._ticket, frame.holding, unix))
+                    self._take(CompletionRequested(self._ticket, frame.holding, unix))
                 else:
-                    self._take(rp.ClaimRequested(self._ticket, frame.holding, unix, frame.after))
+                    self._take(ClaimRequested(self._ticket, frame.holding, unix, frame.after))
             case _HeartbeatReplyReceived(frame):
                 for assigned in frame.assigned:
-                    self._take(rp.AssignmentLearned(assigned))
+                    self._take(AssignmentLearned(assigned))
                 sent = self._beats.get(frame.number)
                 if sent is not None:
                     self._answered = clock.boot_clock()
                     self.homes = dict(frame.homes)
-                    self._take(rp.LeaseRenewed(sent, frame.epochs))
-            case rp.ShutdownStarted():
+                    self._take(LeaseRenewed(sent, frame.epochs))
+            case ShutdownStarted():
                 self._take(message)
                 self._beacon()
             case _:
                 self._take(message)
 
-    def _take(self, event: rp.Event) -> None:
+    def _take(self, event: replica_events.Event) -> None:
         self._carry_out(event)
         at = self.replicas.next_timer_at
         if at is not None and self._armed is None:
@@ -249,23 +283,23 @@
 
     def _fire(self) -> None:
         self._armed = None
-        self.post(rp.ReplicaTimeAdvanced())
+        self.post(ReplicaTimeAdvanced())
 
-    def _carry_out(self, event: rp.Event) -> None:
+    def _carry_out(self, event: replica_events.Event) -> None:
         for action in self.replicas.handle(clock.boot_clock(), event):
             match action:
-                case rp.PersistLogRecords():
+                case PersistLogRecords():
                     self._saves.append(action)
                     self._begin_saving()
-                case rp.SendReplicaMessage(to, word):
+                case SendReplicaMessage(to, word):
                     self._tell(to.name, wire.Word(self.holder.replica_id, to, word))
-                case rp.Committed(ticket):
+                case Committed(ticket):
                     self._answer(ticket, "promised", None)
-                case rp.AlreadyRecorded(ticket, holding):
+                case AlreadyRecorded(ticket, holding):
                     self._answer(ticket, "known", holding)
-                case rp.NotCommitted(ticket, why, home, maybe):
+                case NotCommitted(ticket, why, home, maybe):
                     self._answer(ticket, "maybe" if maybe else "unkept", None, why, home)
-                case rp.ReportDivergence(shard, filled, ahead):
+                case ReportDivergence(shard, filled, ahead):
                     names = ", ".join(each.name for each in filled)
                     how = f"{names} filled anew" if names else f"{ahead.name} is to be home" if ahead else ""
                     text = f"copies of shard {shard} differ: {how or 'nobody can tell which is right'}"
@@ -299,15 +333,15 @@
                 self.supervisor.log.say("copies", f"this holder stands still: {error}", "error")
                 return
             if saves:
-                self.post(rp.LogWritePersisted(saves[-1].write_number))
+                self.post(LogWritePersisted(saves[-1].write_number))
         self._saving = False
 
-    def _whole(self) -> list[ms.LogRecord]:
+    def _whole(self) -> list[LogRecord]:
         most = self._terms.part_bytes
         return [
             record
             for shard in self.replicas.shards.values()
-            for record in ms.snapshot_log_records(shard.number, shard.position, shard.records.values(), most)
+            for record in snapshot_log_records(shard.number, shard.position, shard.records.values(), most)
         ]
 
     def view(self) -> dict[str, Any]:
@@ -378,9 +412,9 @@
         while (view := await self._look()) is None or self._around.may_act() != token:
             await asyncio.sleep(self._terms.leases.length / US / 8)  # a renewal that is late is no end
         self._manager = ShardController(self._terms, self._assigned(view), clock.boot_clock())
-        self.post(mg.MachinesDrained(self._drained(view)))
+        self.post(MachinesDrained(self._drained(view)))
         while True:
-            self.post(mg.ControllerTimeAdvanced())
+            self.post(ControllerTimeAdvanced())
             await asyncio.sleep(self._terms.leases.length / US / 20)
 
     def _assigned(self, view: dict[str, Any]) -> tuple[ShardAssignment, ...]:
@@ -410,7 +444,7 @@
         value = msgspec.json.encode(sorted(machines)).decode()
         if why := await self._put(DRAINED_MACHINES_KEY, version, value, self._token):
             raise Refused("busy", why)
-        self.post(mg.MachinesDrained(machines))
+        self.post(MachinesDrained(machines))
         assigned = self._manager.assignments.values() if self._manager else ()
         seen = {place.name: machine for place, machine in self._machines.items()}
         left = sum(any(seen.get(place.name) in machines for place in each.members) for each in assigned)
@@ -418,8 +452,8 @@
 
     async def _look_up(self) -> None:
         if (view := await self._look()) is not None:
-            self.post(mg.AssignmentsLoaded(self._assigned(view)))
-            self.post(mg.MachinesDrained(self._drained(view)))
+            self.post(AssignmentsLoaded(self._assigned(view)))
+            self.post(MachinesDrained(self._drained(view)))
 
     async def receive(self, message: Any) -> None:
         manager = self._manager
@@ -428,21 +462,21 @@
         if isinstance(message, wire.Beat):
             self._waiting[message.holder.replica_id, message.session] = message.number
             self._machines[message.holder.replica_id] = message.holder.machine
-            message = mg.HeartbeatReceived(
+            message = HeartbeatReceived(
                 message.holder, message.session, message.joined, message.left, message.yields
             )
         for action in manager.handle(clock.boot_clock(), message):
             match action:
-                case mg.ProposeAssignment(assigned):
+                case ProposeAssignment(assigned):
                     self.supervisor.start("assigning", self._propose(assigned, self._token))
-                case mg.LoadAssignments():
+                case LoadAssignments():
                     self.supervisor.start("assignments", self._look_up())
-                case mg.GrantReplicaLease(place, session, epochs):
+                case GrantReplicaLease(place, session, epochs):
                     number = self._waiting.pop((place, session), 0)
                     mine = tuple(each for each in manager.assignments.values() if place in each.members)
                     homes = {shard: each.primary for shard, each in manager.assignments.items()}
                     self._tell(place.name, wire.Beaten(number, mine, homes, dict(epochs)))
-                case mg.ReportRedundancy(thin, lost):
+                case ReportRedundancy(thin, lost):
                     text = f"{thin} shards bear no further loss, {lost} have nobody left"
                     severity = "warning" if thin or lost else "info"
                     self.supervisor.log.say("copies", text, severity, thin=thin, lost=lost)
@@ -455,10 +489,10 @@
         if not why:
             text = f"shard {assigned.shard}, epoch {assigned.epoch}: home {assigned.primary.name}"
             self.supervisor.log.say("assigned", text, "debug", shard=assigned.shard, epoch=assigned.epoch)
-            self.post(mg.AssignmentAgreed(assigned))
+            self.post(AssignmentAgreed(assigned))
             return
         view = await self._look()
         note = (view or {}).get("notes", {}).get(f"{ASSIGNMENT_KEY_PREFIX}{assigned.shard}")
         self.post(
-            mg.AssignmentRejected(assigned.shard, _ASSIGNMENT_DECODER.decode(note["value"]) if note else None)
+            AssignmentRejected(assigned.shard, _ASSIGNMENT_DECODER.decode(note["value"]) if note else None)
         )
--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -6,10 +6,44 @@
 import pytest
 
 from benchmarks.planted_copies import PLANTED, caught
-from lotusstream.copies import messages as ms
-from lotusstream.copies import replica as rp
-from lotusstream.copies import shard_controller as mg
 from lotusstream.copies.anti_entropy import Divergence, find_divergence
+from lotusstream.copies.messages import (
+    CatchUpData,
+    IdempotencyRecord,
+    Operation,
+    OperationLogRecord,
+    PositionReply,
+    PositionRequest,
+    RecordState,
+    ShardAssignment,
+    StaleEpoch,
+)
+from lotusstream.copies.replica import ReplicaSet
+from lotusstream.copies.replica_events import (
+    AlreadyRecorded,
+    AssignmentLearned,
+    ClaimRequested,
+    CompletionRequested,
+    LeaseRenewed,
+    MessageReceived,
+    NotCommitted,
+    PersistLogRecords,
+    ReplicaTimeAdvanced,
+    SendReplicaMessage,
+    ShutdownStarted,
+)
+from lotusstream.copies.shard_controller import (
+    AssignmentAgreed,
+    AssignmentRejected,
+    AssignmentsLoaded,
+    ControllerTimeAdvanced,
+    GrantReplicaLease,
+    HeartbeatReceived,
+    LoadAssignments,
+    ProposeAssignment,
+    ShardController,
+)
+from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId, choose_hosts, shard_of
 from lotusstream.lab.copies import OPTIONS, ReplicationScenario, ReplicationWorld, play
 from lotusstream.lab.world import S
@@ -80,140 +114,141 @@
 def test_a_copy_that_began_anew_is_not_filled_by_a_home_of_an_epoch_before_its_newest_change():
     """Seed 243: such a home woke from a stop first, and its fill took a promised answer from the disk."""
     shard = shard_of("key", OPTIONS.shard_count)
-    answered = ms.IdempotencyRecord("key", "p", ms.RecordState.ANSWERED, "g", 1 << 60, b"rows")
-    kept = rp.recover_shards([ms.OperationLogRecord(shard, ms.Operation(23, 7, answered))])
-    copy = rp.ReplicaSet(COPY, "anew", OPTIONS, kept, 0)
-    woken = ms.ShardAssignment(shard, 21, OLD, "old", (COPY,))
-    assert copy.handle(1, rp.MessageReceived(OLD, ms.PositionRequest(woken))) == [
-        rp.SendReplicaMessage(OLD, ms.StaleEpoch(shard, 23))
+    answered = IdempotencyRecord("key", "p", RecordState.ANSWERED, "g", 1 << 60, b"rows")
+    kept = recover_shards([OperationLogRecord(shard, Operation(23, 7, answered))])
+    copy = ReplicaSet(COPY, "anew", OPTIONS, kept, 0)
+    woken = ShardAssignment(shard, 21, OLD, "old", (COPY,))
+    assert copy.handle(1, MessageReceived(OLD, PositionRequest(woken))) == [
+        SendReplicaMessage(OLD, StaleEpoch(shard, 23))
     ]
-    copy.handle(2, rp.MessageReceived(OLD, ms.CatchUpData(shard, 21, -1, 21, 6)))
+    copy.handle(2, MessageReceived(OLD, CatchUpData(shard, 21, -1, 21, 6)))
     assert copy.shards[shard].records["key"] == answered
 
 
 def test_a_manager_whose_answer_was_lost_hears_what_was_agreed_on_within_a_lease():
     """Seed 275: it took a shard for whole that had been left with one copy, and mended it never."""
-    known = ms.ShardAssignment(0, 14, HOME, "s", (COPY, OLD))
-    manager = mg.ShardController(OPTIONS, [known], 0)
-    actions = manager.handle(OPTIONS.leases.length, mg.ControllerTimeAdvanced())
-    assert mg.LoadAssignments() in actions
-    now = ms.ShardAssignment(0, 15, HOME, "s", (COPY,))
-    manager.handle(OPTIONS.leases.length + 1, mg.AssignmentsLoaded((now,)))
+    known = ShardAssignment(0, 14, HOME, "s", (COPY, OLD))
+    manager = ShardController(OPTIONS, [known], 0)
+    actions = manager.handle(OPTIONS.leases.length, ControllerTimeAdvanced())
+    assert LoadAssignments() in actions
+    now = ShardAssignment(0, 15, HOME, "s", (COPY,))
+    manager.handle(OPTIONS.leases.length + 1, AssignmentsLoaded((now,)))
     assert manager.assignments[0] == now
 
 
 def test_a_home_that_leaves_as_planned_is_followed_at_once_and_promises_nothing_more():
     holders = [holder(name, name, "z", disk) for name, disk in (("g1", "d1"), ("g2", "d2"), ("g3", "d3"))]
-    known = ms.ShardAssignment(0, 4, HOME, "g1", (COPY, OLD))
-    manager = mg.ShardController(OPTIONS, [known], 0)
+    known = ShardAssignment(0, 4, HOME, "g1", (COPY, OLD))
+    manager = ShardController(OPTIONS, [known], 0)
     for each in holders:
         assert not [
             a
-            for a in manager.handle(1, mg.HeartbeatReceived(each, each.machine))
-            if isinstance(a, mg.ProposeAssignment)
+            for a in manager.handle(1, HeartbeatReceived(each, each.machine))
+            if isinstance(a, ProposeAssignment)
         ]
-    told = manager.handle(2, mg.HeartbeatReceived(holders[0], "g1", shutting_down=True))
-    (proposed,) = [action.assignment for action in told if isinstance(action, mg.ProposeAssignment)]
+    told = manager.handle(2, HeartbeatReceived(holders[0], "g1", shutting_down=True))
+    (proposed,) = [action.assignment for action in told if isinstance(action, ProposeAssignment)]
     assert (proposed.epoch, proposed.primary) == (5, COPY)
-    leaving = rp.ReplicaSet(HOME, "g1", OPTIONS, {}, 0)
-    leaving.handle(1, rp.LeaseRenewed(1))
+    leaving = ReplicaSet(HOME, "g1", OPTIONS, {}, 0)
+    leaving.handle(1, LeaseRenewed(1))
     assert leaving.has_lease
-    leaving.handle(2, rp.ShutdownStarted())
-    leaving.handle(3, rp.LeaseRenewed(3))  # answered to an earlier beacon
+    leaving.handle(2, ShutdownStarted())
+    leaving.handle(3, LeaseRenewed(3))  # answered to an earlier beacon
     assert not leaving.has_lease
 
 
 def test_a_home_that_was_cut_off_says_nothing_of_shards_that_were_given_to_others_meanwhile():
     """Seed 843: its lease was renewed before it heard of the epochs that it had missed."""
     shard = shard_of("key", OPTIONS.shard_count)
-    sent = ms.IdempotencyRecord("key", "p", ms.RecordState.SENT, "g", 1 << 60)
-    home = rp.ReplicaSet(
-        HOME, "s", OPTIONS, rp.recover_shards([ms.OperationLogRecord(shard, ms.Operation(4, 1, sent))]), 0
+    sent = IdempotencyRecord("key", "p", RecordState.SENT, "g", 1 << 60)
+    home = ReplicaSet(
+        HOME,
+        "s",
+        OPTIONS,
+        recover_shards([OperationLogRecord(shard, Operation(4, 1, sent))]),
+        0,
     )
-    home.handle(0, rp.AssignmentLearned(ms.ShardAssignment(shard, 4, HOME, "s", (COPY,))))
-    home.handle(0, rp.LeaseRenewed(0, {shard: 4}))
-    home.handle(0, rp.MessageReceived(COPY, ms.PositionReply(shard, 4, "c", 4, 1)))
-    assert rp.AlreadyRecorded(1, sent) in home.handle(1, rp.ClaimRequested(1, sent_by("another"), 1))
-    home.handle(OPTIONS.leases.length, rp.LeaseRenewed(OPTIONS.leases.length, {shard: 5}))
+    home.handle(0, AssignmentLearned(ShardAssignment(shard, 4, HOME, "s", (COPY,))))
+    home.handle(0, LeaseRenewed(0, {shard: 4}))
+    home.handle(0, MessageReceived(COPY, PositionReply(shard, 4, "c", 4, 1)))
+    assert AlreadyRecorded(1, sent) in home.handle(1, ClaimRequested(1, sent_by("another"), 1))
+    home.handle(OPTIONS.leases.length, LeaseRenewed(OPTIONS.leases.length, {shard: 5}))
     assert home.has_lease
-    told = home.handle(OPTIONS.leases.length, rp.ClaimRequested(2, sent_by("another"), 1))
-    assert [type(each) for each in told if isinstance(each, rp.AlreadyRecorded | rp.NotCommitted)] == [
-        rp.NotCommitted
-    ]
+    told = home.handle(OPTIONS.leases.length, ClaimRequested(2, sent_by("another"), 1))
+    assert [type(each) for each in told if isinstance(each, AlreadyRecorded | NotCommitted)] == [NotCommitted]
 
 
 def sent_by(owner):
-    return ms.IdempotencyRecord("key", "p", ms.RecordState.SENT, owner, 1 << 60)
+    return IdempotencyRecord("key", "p", RecordState.SENT, owner, 1 << 60)
 
 
 def test_a_home_gets_no_lease_while_another_in_its_place_may_be_agreed_on():
     names = {"g1": "d1", "g2": "d2", "g3": "d3"}
     holders = {name: holder(name, name, "z", disk) for name, disk in names.items()}
-    manager = mg.ShardController(OPTIONS, [ms.ShardAssignment(0, 4, HOME, "g1", (COPY, OLD))], 0)
+    manager = ShardController(OPTIONS, [ShardAssignment(0, 4, HOME, "g1", (COPY, OLD))], 0)
     for name, each in holders.items():
-        manager.handle(0, mg.HeartbeatReceived(each, name))
+        manager.handle(0, HeartbeatReceived(each, name))
     late = OPTIONS.leases.length
-    manager.handle(late - 1, mg.HeartbeatReceived(holders["g2"], "g2"))
-    told = manager.handle(late, mg.HeartbeatReceived(holders["g3"], "g3"))
-    (asked,) = [a.assignment for a in told if isinstance(a, mg.ProposeAssignment) and a.assignment.shard == 0]
+    manager.handle(late - 1, HeartbeatReceived(holders["g2"], "g2"))
+    told = manager.handle(late, HeartbeatReceived(holders["g3"], "g3"))
+    (asked,) = [a.assignment for a in told if isinstance(a, ProposeAssignment) and a.assignment.shard == 0]
     assert asked.primary == COPY
-    told = manager.handle(late + 1, mg.HeartbeatReceived(holders["g1"], "g1"))
-    assert not [each for each in told if isinstance(each, mg.GrantReplicaLease)]
-    manager.handle(late + 2, mg.AssignmentRejected(0, None))  # its answer was lost: asked for again
-    told = manager.handle(late + 3, mg.HeartbeatReceived(holders["g1"], "g1"))
-    assert not [each for each in told if isinstance(each, mg.GrantReplicaLease)]
-    manager.handle(late + 4, mg.AssignmentAgreed(asked))
-    told = manager.handle(late + 5, mg.HeartbeatReceived(holders["g1"], "g1"))
-    assert [each.epochs for each in told if isinstance(each, mg.GrantReplicaLease)] == [{0: 5}]
+    told = manager.handle(late + 1, HeartbeatReceived(holders["g1"], "g1"))
+    assert not [each for each in told if isinstance(each, GrantReplicaLease)]
+    manager.handle(late + 2, AssignmentRejected(0, None))  # its answer was lost: asked for again
+    told = manager.handle(late + 3, HeartbeatReceived(holders["g1"], "g1"))
+    assert not [each for each in told if isinstance(each, GrantReplicaLease)]
+    manager.handle(late + 4, AssignmentAgreed(asked))
+    told = manager.handle(late + 5, HeartbeatReceived(holders["g1"], "g1"))
+    assert [each.epochs for each in told if isinstance(each, GrantReplicaLease)] == [{0: 5}]
 
 
 def test_a_home_whose_disk_came_back_with_less_makes_room_for_whoever_has_more():
     shard = shard_of("key", OPTIONS.shard_count)
-    home = rp.ReplicaSet(HOME, "s", OPTIONS, {}, 0)  # rolled back to nothing
-    home.handle(0, rp.AssignmentLearned(ms.ShardAssignment(shard, 4, HOME, "s", (COPY,))))
-    home.handle(0, rp.LeaseRenewed(0, {shard: 4}))
-    told = home.handle(1, rp.MessageReceived(COPY, ms.PositionReply(shard, 4, "c", 3, 9)))
+    home = ReplicaSet(HOME, "s", OPTIONS, {}, 0)  # rolled back to nothing
+    home.handle(0, AssignmentLearned(ShardAssignment(shard, 4, HOME, "s", (COPY,))))
+    home.handle(0, LeaseRenewed(0, {shard: 4}))
+    told = home.handle(1, MessageReceived(COPY, PositionReply(shard, 4, "c", 3, 9)))
     assert not [
         each
         for each in told
-        if isinstance(each, rp.SendReplicaMessage) and isinstance(each.message, ms.CatchUpData)
+        if isinstance(each, SendReplicaMessage) and isinstance(each.message, CatchUpData)
     ]
     assert home.more_advanced_replicas() == {shard: (4, COPY)}
-    manager = mg.ShardController(OPTIONS, [ms.ShardAssignment(shard, 4, HOME, "g1", (COPY,))], 0)
-    manager.handle(1, mg.HeartbeatReceived(holder("g2", "g2", "z", "d2"), "g2"))
+    manager = ShardController(OPTIONS, [ShardAssignment(shard, 4, HOME, "g1", (COPY,))], 0)
+    manager.handle(1, HeartbeatReceived(holder("g2", "g2", "z", "d2"), "g2"))
     told = manager.handle(
         2,
-        mg.HeartbeatReceived(
-            holder("g1", "g1", "z", "d1"), "g1", more_advanced=home.more_advanced_replicas()
-        ),
+        HeartbeatReceived(holder("g1", "g1", "z", "d1"), "g1", more_advanced=home.more_advanced_replicas()),
     )
-    (asked,) = [action.assignment for action in told if isinstance(action, mg.ProposeAssignment)]
+    (asked,) = [action.assignment for action in told if isinstance(action, ProposeAssignment)]
     assert (asked.primary, asked.backups) == (COPY, (HOME,))
 
 
 def test_a_holder_without_room_takes_no_new_key_and_finishes_those_that_it_has():
     shard = shard_of("key", OPTIONS.shard_count)
-    old = ms.IdempotencyRecord("key", "p", ms.RecordState.SENT, "g", 1 << 60)
-    kept = rp.recover_shards([ms.OperationLogRecord(shard, ms.Operation(4, 1, old))])
+    old = IdempotencyRecord("key", "p", RecordState.SENT, "g", 1 << 60)
+    kept = recover_shards([OperationLogRecord(shard, Operation(4, 1, old))])
     terms = replace(OPTIONS, commit_count=1, max_bytes=1)
-    home = rp.ReplicaSet(HOME, "s", terms, kept, 0)
-    home.handle(0, rp.AssignmentLearned(ms.ShardAssignment(shard, 4, HOME, "s")))
-    home.handle(0, rp.LeaseRenewed(0, {shard: 4}))
+    home = ReplicaSet(HOME, "s", terms, kept, 0)
+    home.handle(0, AssignmentLearned(ShardAssignment(shard, 4, HOME, "s")))
+    home.handle(0, LeaseRenewed(0, {shard: 4}))
     other = next(f"k{at}" for at in range(99) if shard_of(f"k{at}", OPTIONS.shard_count) == shard)
     told = home.handle(
-        1, rp.ClaimRequested(1, ms.IdempotencyRecord(other, "p", ms.RecordState.SENT, "g", 1 << 60), 1)
+        1,
+        ClaimRequested(1, IdempotencyRecord(other, "p", RecordState.SENT, "g", 1 << 60), 1),
     )
-    assert [each.reason for each in told if isinstance(each, rp.NotCommitted)] == [
+    assert [each.reason for each in told if isinstance(each, NotCommitted)] == [
         "this holder has no room for more"
     ]
-    answered = ms.IdempotencyRecord("key", "p", ms.RecordState.ANSWERED, "g", 1 << 60, b"rows")
+    answered = IdempotencyRecord("key", "p", RecordState.ANSWERED, "g", 1 << 60, b"rows")
     assert [
         each
-        for each in home.handle(1, rp.CompletionRequested(2, answered, 1))
-        if isinstance(each, rp.PersistLogRecords)
+        for each in home.handle(1, CompletionRequested(2, answered, 1))
+        if isinstance(each, PersistLogRecords)
     ]
     for _ in range(len(home.shards)):
-        home.handle(2, rp.ReplicaTimeAdvanced(1 << 61))  # kept no longer
+        home.handle(2, ReplicaTimeAdvanced(1 << 61))  # kept no longer
     assert home.size_bytes == 0
 
 
