--- a/lotusstream/copies/shard_controller.py
+++ b/lotusstream/copies/shard_controller.py
@@ -11,7 +11,7 @@
 
 from lotusstream.copies.messages import ShardAssignment
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT, ReplicaHost, ReplicaId, choose_hosts
-from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.granter import LeaseTiming
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
     replica_count: int
     commit_count: int
-    leases: LeaseTerms
+    leases: LeaseTiming
     max_catch_ups: int = 4
     shard_count: int = DEFAULT_SHARD_COUNT
     part_bytes: int = 256 << 10
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -61,14 +61,14 @@
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.lab.world import MS, Node, S, Span, World
-from lotusstream.leases.granter import LeaseTerms
+from lotusstream.leases.granter import LeaseTiming
 
 FAILED_ANSWER = b"may have run"
 ONCE_KEY_SUFFIX = "once"  # the end of keys whose commands may run once only
 OPTIONS = ReplicationOptions(
     replica_count=3,
     commit_count=2,
-    leases=LeaseTerms(1 * S, 125 * MS, 0.05),
+    leases=LeaseTiming(1 * S, 125 * MS, 0.05),
     max_catch_ups=2,
     shard_count=4,
     part_bytes=300,
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -45,7 +45,7 @@
 from lotusstream.net.decider import Decider
 from lotusstream.net.decider_messages import SubsystemEvent
 from lotusstream.net.endpoint import AbortAttempt, AttemptFinished, ChangePriority, EndpointActor, RunAttempt
-from lotusstream.operator.fleet import FleetText
+from lotusstream.operator.fleet import FleetSettings
 from lotusstream.protocol import peers as wire
 
 CLAIM_TIME_DIVISOR = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
@@ -58,12 +58,12 @@
     """Time alone may change something."""
 
 
-class CommitmentActor(Actor[GateMessage | wire.Kept | _ClaimTimerFired]):
+class CommitmentActor(Actor[GateMessage | wire.CommitmentReply | _ClaimTimerFired]):
     """Drives `Claims`; what it says reaches the decision module as events."""
 
     def __init__(
-        self, name: str, told: FleetText, deployment: Deployment, decider: Decider, clock: Clock,
-        tell: Callable[[str, wire.AnyFrame], None], supervisor: Supervisor,
+        self, name: str, told: FleetSettings, deployment: Deployment, decider: Decider, clock: Clock,
+        tell: Callable[[str, wire.PeerFrame], None], supervisor: Supervisor,
     ) -> None:  # fmt: skip
         super().__init__("promises", supervisor)
         assert told.copies is not None and told.remember is not None
@@ -81,7 +81,7 @@
         effect = self._deployment.started.profiles[profile].idempotency
         return mark is not None and effect is not Idempotency.IDEMPOTENT
 
-    async def receive(self, message: GateMessage | wire.Kept | _ClaimTimerFired) -> None:
+    async def receive(self, message: GateMessage | wire.CommitmentReply | _ClaimTimerFired) -> None:
         match message:
             case AttemptReady():
                 self._departs(message)
@@ -101,7 +101,7 @@
                 self._take(EndpointAnswered(command, rows, by))
             case RequestClosed(command, ran, out, given):
                 self._take(RequestEnded(command, ran, out, self._clock.now() + given))
-            case wire.Kept(number, what, holding, why, home):
+            case wire.CommitmentReply(number, what, holding, why, home):
                 self._take(PrimaryReplied(number, what, holding, why, home))
             case _ClaimTimerFired():
                 self._take(ClaimTimeAdvanced())
@@ -135,7 +135,7 @@
         for action in self.claims.handle(self._clock.now(), event):
             match action:
                 case SendToPrimary(holder, number, finish, holding, after):
-                    self._tell(holder, wire.Keep(number, finish, holding, after))
+                    self._tell(holder, wire.CommitmentRequest(number, finish, holding, after))
                 case ReleaseAttempt(command, send):
                     start, actor = self._waiting.pop((command, send))
                     counters.add("sends promised")
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -80,7 +80,7 @@
     [str, int, str, int], Awaitable[str]
 ]  # key, version, value, token: '' once agreed, or why not
 ReadQuorumView = Callable[[], Awaitable[dict[str, Any] | None]]  # what the quorum has, or None
-SendFrame = Callable[[str, wire.AnyFrame], None]  # to the gateway of this name; may be lost
+SendFrame = Callable[[str, wire.PeerFrame], None]  # to the gateway of this name; may be lost
 
 
 class ReplicaStore:
@@ -141,13 +141,13 @@
 class _ClaimFrameReceived:
     """Of another gateway, or of this one."""
 
-    frame: wire.Keep
-    answer: Callable[[wire.AnyFrame], None]
+    frame: wire.CommitmentRequest
+    answer: Callable[[wire.PeerFrame], None]
 
 
 @dataclass(frozen=True, slots=True)
 class _HeartbeatReplyReceived:
-    frame: wire.Beaten
+    frame: wire.ReplicaHeartbeatReply
 
 
 class ReplicationActor(Actor[Any]):
@@ -177,7 +177,7 @@
         self._saving = self._anew = False  # anew: the log is to be written whole
         self._armed: asyncio.TimerHandle | None = None  # for what waits for the told pace
         self._failed = ""
-        self._tickets: dict[int, tuple[wire.Keep, Callable[[wire.AnyFrame], None]]] = {}
+        self._tickets: dict[int, tuple[wire.CommitmentRequest, Callable[[wire.PeerFrame], None]]] = {}
         self._ticket = 0
         self._beats: dict[int, int] = {}
         self._beat, self._answered = 0, 0
@@ -224,7 +224,7 @@
             self._beats = {number: at for number, at in kept if now - at < self._terms.leases.length}
             self._beats[self._beat] = now
             told, joined = self.replicas, self.replicas.caught_up_replicas()
-            beat = wire.Beat(
+            beat = wire.ReplicaHeartbeat(
                 self._beat,
                 self.holder,
                 told.session,
@@ -238,14 +238,14 @@
         """A planned stop: others are home of its shards at once, not only once its lease is over."""
         self.post(ShutdownStarted())
 
-    def heard(self, frame: wire.AnyFrame, answer: Callable[[wire.AnyFrame], None]) -> None:
+    def heard(self, frame: wire.PeerFrame, answer: Callable[[wire.PeerFrame], None]) -> None:
         match frame:
-            case wire.Word(source, to, word):
+            case wire.ReplicationFrame(source, to, word):
                 if to == self.holder.replica_id:
                     self.post(MessageReceived(source, word))
-            case wire.Keep():
+            case wire.CommitmentRequest():
                 self.post(_ClaimFrameReceived(frame, answer))
-            case wire.Beaten():
+            case wire.ReplicaHeartbeatReply():
                 self.post(_HeartbeatReplyReceived(frame))
 
     async def receive(self, message: Any) -> None:
@@ -292,7 +292,7 @@
                     self._saves.append(action)
                     self._begin_saving()
                 case SendReplicaMessage(to, word):
-                    self._tell(to.name, wire.Word(self.holder.replica_id, to, word))
+                    self._tell(to.name, wire.ReplicationFrame(self.holder.replica_id, to, word))
                 case Committed(ticket):
                     self._answer(ticket, "promised", None)
                 case AlreadyRecorded(ticket, holding):
@@ -312,7 +312,7 @@
             if what == "unkept" and not home:  # as this holder last heard
                 place = self.homes.get(shard_of(asked.holding.key, self._terms.shard_count))
                 home = place.name if place is not None and place != self.holder.replica_id else ""
-            answer(wire.Kept(asked.number, what, holding, why, home))
+            answer(wire.CommitmentReply(asked.number, what, holding, why, home))
 
     def _begin_saving(self) -> None:
         if not self._saving:
@@ -459,7 +459,7 @@
         manager = self._manager
         if manager is None or not self._token or self._around.may_act() != self._token:
             return
-        if isinstance(message, wire.Beat):
+        if isinstance(message, wire.ReplicaHeartbeat):
             self._waiting[message.holder.replica_id, message.session] = message.number
             self._machines[message.holder.replica_id] = message.holder.machine
             message = HeartbeatReceived(
@@ -475,7 +475,7 @@
                     number = self._waiting.pop((place, session), 0)
                     mine = tuple(each for each in manager.assignments.values() if place in each.members)
                     homes = {shard: each.primary for shard, each in manager.assignments.items()}
-                    self._tell(place.name, wire.Beaten(number, mine, homes, dict(epochs)))
+                    self._tell(place.name, wire.ReplicaHeartbeatReply(number, mine, homes, dict(epochs)))
                 case ReportRedundancy(thin, lost):
                     text = f"{thin} shards bear no further loss, {lost} have nobody left"
                     severity = "warning" if thin or lost else "info"
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -14,7 +14,7 @@
 from golden_data import STORED
 from golden_messages import (
     HOLDINGS,
-    Kind,
+    EntryKind,
     Migration,
     MigrationStep,
     RecordState,
@@ -29,7 +29,7 @@
 from lotusstream.net.copies import ReplicaStore
 from lotusstream.net.migrations import read_moves
 from lotusstream.net.raft_node import open_store
-from lotusstream.quorum.replicated_log import Journal
+from lotusstream.quorum.replicated_log import ReplicatedLog
 from lotusstream.wal.log import WriteAheadLog
 
 MEMBERS_OF_THE_RUN = (
@@ -49,16 +49,16 @@
     return Path(shutil.copytree(STORED, tmp_path / "stored"))
 
 
-def open_journal(folder: Path) -> tuple[str, int, str, Journal]:
+def open_journal(folder: Path) -> tuple[str, int, str, ReplicatedLog]:
     log, on_disk = open_store(str(folder))
     log.close()
     assert on_disk.journal is not None and log.discarded_bytes == 0
     return on_disk.disk, on_disk.term, on_disk.vote, on_disk.journal
 
 
-def lease_table(journal: Journal) -> leases.LeaseTable:
+def lease_table(journal: ReplicatedLog) -> leases.LeaseTable:
     entries = [journal.entry(index) for index in range(journal.snapshot.index + 1, journal.last + 1)]
-    commands = [entry.data for entry in entries if entry.kind == Kind.COMMAND]
+    commands = [entry.data for entry in entries if entry.kind == EntryKind.COMMAND]
     return leases.LeaseTable.replayed(journal.snapshot.state, commands)
 
 
@@ -157,8 +157,8 @@
 
 def test_a_repeated_wish_is_known_from_a_snapshot(stored: Path) -> None:
     table = lease_table(open_journal(stored / "made")[-1])
-    repeated = leases.encode_wish(leases.Acquire("moves", "g1", "g1-session", 2))
-    assert table.apply(repeated) == leases.Granted(True, "moves", "g1", 1, "")
+    repeated = leases.encode_operation(leases.AcquireLease("moves", "g1", "g1-session", 2))
+    assert table.apply(repeated) == leases.LeaseResult(True, "moves", "g1", 1, "")
     assert table.leases["moves"].renewed == 1
 
 
