--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -54,7 +54,7 @@
         while (
             why := await self._around.agree(PLAN_NOTE_KEY, token, MIGRATION_TASK)
         ) and self._around.may_act() == token:
-            self._around.supervisor.log.say("plan", f"no moves are begun here: {why}", reason=why)
+            self._around.supervisor.log.write("plan", f"no moves are begun here: {why}", reason=why)
             await asyncio.sleep(PLAN_RETRY_DELAY_S)
         if self._around.may_act() == token:
             self._around.tell_decider(SubsystemEvent(MigrationLeaseChanged(token)))
