--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -9,13 +9,8 @@
 from unittest import mock
 
 from lotusstream.copies.catch_up import CatchUpSender
-from lotusstream.copies.idempotency import (
-    AttemptRequested,
-    ClaimCoordinator,
-    ClaimPhase,
-    DeliverAnswer,
-    RequestEnded,
-)
+from lotusstream.copies.claim_events import AttemptRequested, DeliverAnswer, EndpointAnswered, RequestEnded
+from lotusstream.copies.idempotency import ClaimCoordinator, ClaimPhase
 from lotusstream.copies.messages import IdempotencyRecord, PositionReply, RecordState, ShardAssignment
 from lotusstream.copies.primary import PrimaryRole
 from lotusstream.copies.replica_context import ReplicaContext, ReplicaOutbox
@@ -112,54 +107,58 @@
 
 
 def _sent_before_the_promise() -> Any:
-    """A send leaves with its claim on the way."""
-    claim = ClaimCoordinator._claim
+    """An attempt leaves while its claim is under way."""
+    request_claim = ClaimCoordinator._request_claim
 
-    def hasty(self: ClaimCoordinator, kept: Any, after: str, since: int) -> None:
-        claim(self, kept, after, since)
-        kept.mine = kept.wanted
-        if kept.waits is not None:
-            self._let_go(kept)
+    def claim_and_release(
+        self: ClaimCoordinator, state: Any, previous_owner: str, executing_since: int
+    ) -> None:
+        request_claim(self, state, previous_owner, executing_since)
+        state.claim = state.wanted
+        if state.waiting_attempt is not None:
+            self._release_attempt(state)
 
-    return mock.patch.object(ClaimCoordinator, "_claim", hasty)
+    return mock.patch.object(ClaimCoordinator, "_request_claim", claim_and_release)
 
 
 def _answered_before_it_is_held() -> Any:
-    answered = ClaimCoordinator._answered
+    """A client gets its answer before that is stored."""
+    on_endpoint_answered = ClaimCoordinator._on_endpoint_answered
 
-    def hasty(self: ClaimCoordinator, command: int, answer: bytes, by: int) -> None:
-        answered(self, command, answer, by)
-        self._out.append(DeliverAnswer(command, answer))
+    def deliver_at_once(self: ClaimCoordinator, event: EndpointAnswered) -> None:
+        on_endpoint_answered(self, event)
+        self._actions.append(DeliverAnswer(event.request, event.answer))
 
-    return mock.patch.object(ClaimCoordinator, "_answered", hasty)
+    return mock.patch.object(ClaimCoordinator, "_on_endpoint_answered", deliver_at_once)
 
 
 def _a_repeat_is_new() -> Any:
-    """Taken over without a word to the module: sent wherever it was to go."""
-    known = ClaimCoordinator._known
+    """Another gateway's claim is replaced without a report to the decisions: sent wherever it was to go."""
+    on_already_recorded = ClaimCoordinator._on_already_recorded
 
-    def blind(self: ClaimCoordinator, kept: Any, holding: IdempotencyRecord) -> None:
-        if kept.step is ClaimPhase.CLAIMING and holding.state is RecordState.SENT:
-            self._claim(kept, holding.owner, holding.executing_since)
+    def replace_silently(self: ClaimCoordinator, state: Any, record: IdempotencyRecord) -> None:
+        if state.phase is ClaimPhase.CLAIMING and record.state is RecordState.SENT:
+            self._request_claim(state, record.owner, record.executing_since)
         else:
-            known(self, kept, holding)
+            on_already_recorded(self, state, record)
 
-    return mock.patch.object(ClaimCoordinator, "_known", blind)
+    return mock.patch.object(ClaimCoordinator, "_on_already_recorded", replace_silently)
 
 
 def _moved_without_a_word() -> Any:
-    """The claim goes on naming the place of the first send."""
-    leaves = ClaimCoordinator._leaves
-
-    def lazy(self: ClaimCoordinator, told: AttemptRequested) -> None:
-        kept = self._kept.get(told.request)
-        if kept is not None and kept.mine is not None:
-            kept.told, kept.waits = told, told.attempt
-            self._let_go(kept)
+    """The claim goes on naming the endpoints of the first attempt."""
+    on_attempt_requested = ClaimCoordinator._on_attempt_requested
+
+    def release_with_old_claim(self: ClaimCoordinator, attempt: AttemptRequested) -> None:
+        state = self._states.get(attempt.request)
+        if state is not None and state.claim is not None:
+            state.newest_attempt = attempt
+            state.waiting_attempt = attempt.attempt
+            self._release_attempt(state)
         else:
-            leaves(self, told)
+            on_attempt_requested(self, attempt)
 
-    return mock.patch.object(ClaimCoordinator, "_leaves", lazy)
+    return mock.patch.object(ClaimCoordinator, "_on_attempt_requested", release_with_old_claim)
 
 
 def _any_claim_takes_over() -> Any:
@@ -176,12 +175,13 @@
 
 
 def _taken_back_though_it_ran() -> Any:
-    over = ClaimCoordinator._over
+    """A claim is released although its request may have been executed."""
+    on_request_ended = ClaimCoordinator._on_request_ended
 
-    def careless(self: ClaimCoordinator, told: RequestEnded) -> None:
-        over(self, replace(told, may_have_executed=False, unfinished_attempts=frozenset()))
+    def release_always(self: ClaimCoordinator, event: RequestEnded) -> None:
+        on_request_ended(self, replace(event, may_have_executed=False, unfinished_attempts=frozenset()))
 
-    return mock.patch.object(ClaimCoordinator, "_over", careless)
+    return mock.patch.object(ClaimCoordinator, "_on_request_ended", release_always)
 
 
 HARD = replace(SCENE, faults=("lose", "lose", "crash", "cut"), fault_every=500_000)
--- a/lotusstream/copies/__init__.py
+++ b/lotusstream/copies/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway holds for others, on the disks of several machines; without I/O. docs/design/copies.md."""
+"""Idempotency records replicated to the disks of several machines; without I/O. See docs/design/copies.md."""
--- a/lotusstream/copies/idempotency.py
+++ b/lotusstream/copies/idempotency.py
@@ -1,9 +1,10 @@
-"""A gateway's side of what is held: before a command with a mark is sent, its key is claimed at the home of
-its shard; before it is answered, the answer is held there. No I/O, no clock.
+"""A gateway's side of replicated idempotency records, without I/O.
 
-A claim names where repeats are dropped, so that another gateway that takes the repeat sends it there or not
-at all. It changes hands by compare-and-set on its owner's name, and each claim has a new one: a word that
-comes late changes nothing.
+Before an attempt of a request with an idempotency key leaves, its key is claimed at the primary of the key's
+shard; before the client is answered, the answer is stored there. A claim names the endpoints that drop
+repeats, so that another gateway that gets the repeat sends it there or not at all. A claim is replaced by
+compare-and-set on its owner, and each claim has an owner of its own: a message that comes late changes
+nothing.
 """
 
 from __future__ import annotations
@@ -15,160 +16,41 @@
 
 import msgspec
 
+from lotusstream.copies.claim_events import (
+    AbandonRequest,
+    Action,
+    AttemptCancelled,
+    AttemptRequested,
+    ClaimOutcome,
+    ClaimTimeAdvanced,
+    DeliverAnswer,
+    EndpointAnswered,
+    Event,
+    PrimaryReplied,
+    ReleaseAttempt,
+    ReportEarlierExecution,
+    RequestEnded,
+    ReturnAttempt,
+    SendToPrimary,
+    WithholdAnswer,
+)
 from lotusstream.copies.messages import IdempotencyRecord, RecordState
-from lotusstream.copies.shards import ReplicaHost, choose_hosts, shard_of
+from lotusstream.copies.primary_directory import PrimaryDirectory
+from lotusstream.copies.shards import ReplicaHost
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimOptions:
-    """`patience`: microseconds for one answer of a home. `pause`: between two tries."""
+    """Shape of the replicas, and times in microseconds."""
 
     shard_count: int
     replica_count: int
-    reply_timeout: int
-    retry_pause: int
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptRequested:
-    """A send is to leave. `zone`, `cell`: where engines drop its repeats ("" and -1: wherever it goes).
-    `since`, `until`: from when on it may run, and how long its key is remembered, of the Unix clock. `by`:
-    the latest to be told. `again`: whether a command that may have run may be sent again at all."""
-
-    request: int
-    attempt: int
-    key: str
-    request_digest: str
-    zone: str
-    cell: int
-    executing_since: int
-    expires_at: int
-    deadline: int
-    may_retry: bool
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptCancelled:
-    """The send is not wanted any more; nothing follows where it has left already."""
-
-    request: int
-    attempt: int
-
-
-@dataclass(frozen=True, slots=True)
-class EndpointAnswered:
-    """An engine has answered; the client is to get it once it is held."""
-
-    request: int
-    answer: bytes
-    deadline: int
-
-
-@dataclass(frozen=True, slots=True)
-class RequestEnded:
-    """The command needs no answer any more. `ran`: a send of this gateway may have run. `out`: those that
-    have not ended. `by`: the latest for its claim to be taken back."""
-
-    request: int
-    may_have_executed: bool
-    unfinished_attempts: frozenset[int]
-    deadline: int
-
-
-@dataclass(frozen=True, slots=True)
-class PrimaryReplied:
-    """What a holder answered: promised, known, unkept or maybe. `home`: whom to ask, if it knows."""
-
-    number: int
-    outcome: str
-    record: IdempotencyRecord | None
-    reason: str
-    primary: str
-
-
-@dataclass(frozen=True, slots=True)
-class ClaimTimeAdvanced:
-    pass
-
-
-Event = (
-    AttemptRequested | AttemptCancelled | EndpointAnswered | RequestEnded | PrimaryReplied | ClaimTimeAdvanced
-)
-
-
-@dataclass(frozen=True, slots=True)
-class SendToPrimary:
-    """Of a holder. `after`: the owner whose claim this one takes the place of."""
-
-    host: str
-    number: int
-    completes: bool
-    record: IdempotencyRecord
-    previous_owner: str
-
-
-@dataclass(frozen=True, slots=True)
-class ReleaseAttempt:
-    request: int
-    attempt: int
-
-
-@dataclass(frozen=True, slots=True)
-class ReturnAttempt:
-    """The send has not left, and will not."""
-
-    request: int
-    attempt: int
-
-
-@dataclass(frozen=True, slots=True)
-class ReportEarlierExecution:
-    """Another gateway may have run it, there and since then; followed by Back."""
-
-    request: int
-    zone: str
-    cell: int
-    executing_since: int
-
-
-@dataclass(frozen=True, slots=True)
-class AbandonRequest:
-    """Nothing can be promised: the command is to be given up, and has not run here."""
-
-    request: int
-    reason: str
-
-
-@dataclass(frozen=True, slots=True)
-class DeliverAnswer:
-    """The answer that every repeat gets."""
-
-    request: int
-    answer: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class WithholdAnswer:
-    """Nothing that could be told again: failed. Either its answer is not held, or its key was used for
-    another statement."""
-
-    request: int
-    reason: str
-
-
-Action = (
-    SendToPrimary
-    | ReleaseAttempt
-    | ReturnAttempt
-    | ReportEarlierExecution
-    | AbandonRequest
-    | DeliverAnswer
-    | WithholdAnswer
-)
+    reply_timeout: int  # for one answer of a host
+    retry_pause: int  # between two tries
 
 
 class ClaimPhase(Enum):
-    """What is being asked for."""
+    """What a request asks its primary for."""
 
     IDLE = "nothing"
     CLAIMING = "claim"
@@ -178,253 +60,299 @@
 
 @dataclass(slots=True)
 class _ClaimState:
-    """One command. `mine`: its claim, once promised. `wanted`: what is being asked for."""
-
-    told: AttemptRequested
-    step: ClaimPhase = ClaimPhase.IDLE
-    mine: IdempotencyRecord | None = None
-    wanted: IdempotencyRecord | None = None
-    after: str = ""
-    earlier: IdempotencyRecord | None = None  # another gateway's claim, that ours is to take the place of
-    foreign: bool = False  # another gateway may have run it
-    waits: int | None = None  # the send that is held back
-    number: int = 0
-    holder: str = ""
-    skipped: list[str] = field(default_factory=list)
-    again_at: int = 0
-    by: int = 0
+    """One request with an idempotency key."""
+
+    newest_attempt: AttemptRequested
+    phase: ClaimPhase = ClaimPhase.IDLE
+    claim: IdempotencyRecord | None = None  # this gateway's, once committed
+    wanted: IdempotencyRecord | None = None  # what the primary is asked to store
+    previous_owner: str = ""  # of the claim that `wanted` replaces
+    earlier_claim: IdempotencyRecord | None = None  # another gateway's, to be replaced by ours
+    executed_elsewhere: bool = False  # another gateway may have executed it
+    waiting_attempt: int | None = None  # the attempt that waits for its claim
+    message_number: int = 0
+    asked_host: str = ""
+    skipped_hosts: list[str] = field(default_factory=list)
+    retry_at: int = 0  # microseconds
+    deadline: int = 0  # microseconds
+
+    def claims_place_of(self, attempt: AttemptRequested) -> bool:
+        """Whether the committed claim names the endpoints that the attempt goes to."""
+        return self.claim is not None and _same_place(self.claim, attempt)
 
 
 class ClaimCoordinator:
-    """`session`: a name that no other run of any gateway has."""
-
-    def __init__(self, session: str, holders: Iterable[ReplicaHost], terms: ClaimOptions) -> None:
-        self._session, self._holders, self._terms = session, tuple(holders), terms
-        self._homes: dict[int, str] = {}
-        self._orders: dict[int, tuple[str, ...]] = {}  # by shard: whom to ask where the home is not known
-        self._kept: dict[int, _ClaimState] = {}
-        self._due: list[tuple[int, int]] = []  # when a command is to be looked at; what is over is passed by
-        self._asked: dict[int, int] = {}  # by number: the command
-        self._numbers = self._claims = 0
+    """Claims, completions and releases of all requests of one gateway."""
+
+    def __init__(self, session: str, hosts: Iterable[ReplicaHost], options: ClaimOptions) -> None:
+        """Begin without any request.
+
+        :param session: a name that no other run of any gateway has.
+        """
+        self._session = session
+        self._options = options
+        self._directory = PrimaryDirectory(hosts, options.shard_count, options.replica_count)
+        self._states: dict[int, _ClaimState] = {}  # by request
+        self._timers: list[tuple[int, int]] = []  # heap of time and request; those of ended ones are skipped
+        self._asked: dict[int, int] = {}  # request by message number
+        self._message_counter = 0
+        self._claim_counter = 0
         self._now = 0
-        self._out: list[Action] = []
+        self._actions: list[Action] = []
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        self._now, self._out = now, []
+        """Take in an event at this time (microseconds) and return what is to be done."""
+        self._now = now
+        self._actions = []
         match event:
             case AttemptRequested():
-                self._leaves(event)
-            case AttemptCancelled(command, send):
-                kept = self._kept.get(command)
-                if kept is not None and kept.waits == send:
-                    self._back(kept)
-            case EndpointAnswered(command, answer, by):
-                self._answered(command, answer, by)
+                self._on_attempt_requested(event)
+            case AttemptCancelled():
+                self._on_attempt_cancelled(event)
+            case EndpointAnswered():
+                self._on_endpoint_answered(event)
             case RequestEnded():
-                self._over(event)
+                self._on_request_ended(event)
             case PrimaryReplied():
-                self._heard(event)
+                self._on_primary_replied(event)
             case ClaimTimeAdvanced():
-                while self._due and self._due[0][0] <= now:
-                    kept = self._kept.get(heapq.heappop(self._due)[1])
-                    if kept is not None:
-                        self._look(kept)
-        return self._out
+                self._on_time_advanced()
+        return self._actions
 
     @property
     def next_timer_at(self) -> int | None:
-        """When a Tick is due."""
-        return self._due[0][0] if self._due else None
-
-    # What this gateway wants
-
-    def _leaves(self, told: AttemptRequested) -> None:
-        kept = self._kept.setdefault(told.request, _ClaimState(told))
-        if kept.waits is not None:
-            self._back(kept)
-        kept.told, kept.waits = told, told.attempt
-        mine, earlier = kept.mine, kept.earlier
-        if mine is not None and (mine.zone, mine.cell) == (told.zone, told.cell):
-            self._let_go(kept)
-        elif earlier is not None and (earlier.zone, earlier.cell) != (told.zone, told.cell):
-            self._refuse(kept, "it may have run elsewhere")
+        """When a `ClaimTimeAdvanced` is due, microseconds; None: not at any time."""
+        return self._timers[0][0] if self._timers else None
+
+    # Events of this gateway
+
+    def _on_attempt_requested(self, attempt: AttemptRequested) -> None:
+        state = self._states.setdefault(attempt.request, _ClaimState(attempt))
+        self._return_waiting_attempt(state)
+        state.newest_attempt = attempt
+        state.waiting_attempt = attempt.attempt
+        if state.claims_place_of(attempt):
+            self._release_attempt(state)
+        elif state.earlier_claim is not None and not _same_place(state.earlier_claim, attempt):
+            self._abandon(state, "it may have run elsewhere")
         else:
-            base = earlier or kept.wanted or mine
-            self._claim(
-                kept, base.owner if base else "", base.executing_since if base else told.executing_since
-            )
+            self._claim_after(state, state.earlier_claim or state.wanted or state.claim)
 
-    def _claim(self, kept: _ClaimState, after: str, since: int) -> None:
-        told = kept.told
-        self._claims += 1
-        owner = f"{self._session}/{told.request}/{self._claims}"
-        kept.wanted = IdempotencyRecord(
-            told.key,
-            told.request_digest,
-            RecordState.SENT,
-            owner,
-            told.expires_at,
-            b"",
-            told.zone,
-            told.cell,
-            since,
-        )
-        kept.step, kept.after, kept.by = ClaimPhase.CLAIMING, after, told.deadline
-        self._ask(kept)
-
-    def _let_go(self, kept: _ClaimState) -> None:
-        assert kept.waits is not None
-        kept.step = ClaimPhase.IDLE
-        self._out.append(ReleaseAttempt(kept.told.request, kept.waits))
-        kept.waits = None
-
-    def _back(self, kept: _ClaimState) -> None:
-        if kept.waits is not None:
-            self._out.append(ReturnAttempt(kept.told.request, kept.waits))
-            kept.waits, kept.step = None, ClaimPhase.IDLE
-
-    def _refuse(self, kept: _ClaimState, why: str) -> None:
-        self._back(kept)
-        self._out.append(AbandonRequest(kept.told.request, why))
-
-    def _answered(self, command: int, answer: bytes, by: int) -> None:
-        if (kept := self._kept.get(command)) is None or kept.mine is None:
-            self._out.append(WithholdAnswer(command, "its claim is not known any more"))
+    def _on_attempt_cancelled(self, event: AttemptCancelled) -> None:
+        state = self._states.get(event.request)
+        if state is not None and state.waiting_attempt == event.attempt:
+            self._return_waiting_attempt(state)
+
+    def _on_endpoint_answered(self, event: EndpointAnswered) -> None:
+        state = self._states.get(event.request)
+        if state is None or state.claim is None:
+            self._actions.append(WithholdAnswer(event.request, "its claim is not known any more"))
+            return
+        state.phase = ClaimPhase.COMPLETING
+        state.deadline = event.deadline
+        state.previous_owner = ""
+        state.wanted = msgspec.structs.replace(state.claim, state=RecordState.ANSWERED, answer=event.answer)
+        self._ask(state)
+
+    def _on_request_ended(self, event: RequestEnded) -> None:
+        """Release the claim, where no attempt can have been executed."""
+        state = self._states.get(event.request)
+        if state is None or state.phase is ClaimPhase.COMPLETING:
+            return  # a repeat is to get the answer although this client has left
+        has_left = any(attempt != state.waiting_attempt for attempt in event.unfinished_attempts)
+        self._return_waiting_attempt(state)
+        newest = state.wanted or state.claim
+        if event.may_have_executed or has_left or state.executed_elsewhere or newest is None:
+            self._forget(state)
             return
-        kept.step, kept.by, kept.after = ClaimPhase.COMPLETING, by, ""
-        kept.wanted = msgspec.structs.replace(kept.mine, state=RecordState.ANSWERED, answer=answer)
-        self._ask(kept)
-
-    def _over(self, told: RequestEnded) -> None:
-        kept = self._kept.get(told.request)
-        if kept is None or kept.step is ClaimPhase.COMPLETING:
-            return  # whoever asks again gets the answer though this client has left
-        left = any(send != kept.waits for send in told.unfinished_attempts)
-        self._back(kept)
-        newest = kept.wanted or kept.mine
-        if told.may_have_executed or left or kept.foreign or newest is None:
-            self._forget(kept)
+        state.phase = ClaimPhase.RELEASING
+        state.deadline = event.deadline
+        state.previous_owner = newest.owner
+        state.wanted = msgspec.structs.replace(newest, state=RecordState.NOT_EXECUTED)
+        self._ask(state)
+
+    def _on_time_advanced(self) -> None:
+        while self._timers and self._timers[0][0] <= self._now:
+            _, request = heapq.heappop(self._timers)
+            state = self._states.get(request)
+            if state is not None:
+                self._check_timers(state)
+
+    # Attempts
+
+    def _release_attempt(self, state: _ClaimState) -> None:
+        assert state.waiting_attempt is not None
+        state.phase = ClaimPhase.IDLE
+        self._actions.append(ReleaseAttempt(state.newest_attempt.request, state.waiting_attempt))
+        state.waiting_attempt = None
+
+    def _return_waiting_attempt(self, state: _ClaimState) -> None:
+        if state.waiting_attempt is None:
             return
-        kept.step, kept.by, kept.after = ClaimPhase.RELEASING, told.deadline, newest.owner
-        kept.wanted = msgspec.structs.replace(newest, state=RecordState.NOT_EXECUTED)
-        self._ask(kept)
-
-    def _forget(self, kept: _ClaimState) -> None:
-        self._asked.pop(kept.number, None)
-        self._kept.pop(kept.told.request, None)
-
-    # Asking
-
-    def _ask(self, kept: _ClaimState) -> None:
-        assert kept.wanted is not None
-        self._asked.pop(kept.number, None)
-        self._numbers += 1
-        kept.number, kept.holder = self._numbers, self._whom(kept)
-        self._again_in(kept, self._terms.reply_timeout)
-        self._asked[kept.number] = kept.told.request
-        finish = kept.step is ClaimPhase.COMPLETING
-        self._out.append(SendToPrimary(kept.holder, kept.number, finish, kept.wanted, kept.after))
-
-    def _whom(self, kept: _ClaimState) -> str:
-        """The home, as far as is known; then those it would be given to, one after the other."""
-        shard = shard_of(kept.told.key, self._terms.shard_count)
-        home = self._homes.get(shard, "")
-        if home and home not in kept.skipped:
-            return home
-        if shard not in self._orders:
-            likely = [
-                each.replica_id.name for each in choose_hosts(shard, self._holders, self._terms.replica_count)
-            ]
-            self._orders[shard] = (*likely, *(each.replica_id.name for each in self._holders))
-        for name in self._orders[shard]:
-            if name not in kept.skipped:
-                return name
-        kept.skipped.clear()
-        return home or self._orders[shard][0]
-
-    def _again_in(self, kept: _ClaimState, span: int) -> None:
-        """Nothing follows before then, or before its time is over, unless something is heard."""
-        kept.again_at = self._now + span
-        heapq.heappush(self._due, (min(kept.again_at, kept.by), kept.told.request))
-
-    def _look(self, kept: _ClaimState) -> None:
-        if kept.step is ClaimPhase.IDLE:
+        self._actions.append(ReturnAttempt(state.newest_attempt.request, state.waiting_attempt))
+        state.waiting_attempt = None
+        state.phase = ClaimPhase.IDLE
+
+    def _abandon(self, state: _ClaimState, reason: str) -> None:
+        self._return_waiting_attempt(state)
+        self._actions.append(AbandonRequest(state.newest_attempt.request, reason))
+
+    def _forget(self, state: _ClaimState) -> None:
+        self._asked.pop(state.message_number, None)
+        self._states.pop(state.newest_attempt.request, None)
+
+    # Messages to the primary
+
+    def _claim_after(self, state: _ClaimState, previous: IdempotencyRecord | None) -> None:
+        """Claim the key; a claim that replaces another one goes on from when that one may be executed."""
+        if previous is None:
+            self._request_claim(state, "", state.newest_attempt.executing_since)
+        else:
+            self._request_claim(state, previous.owner, previous.executing_since)
+
+    def _request_claim(self, state: _ClaimState, previous_owner: str, executing_since: int) -> None:
+        attempt = state.newest_attempt
+        self._claim_counter += 1
+        state.wanted = IdempotencyRecord(
+            key=attempt.key,
+            request_digest=attempt.request_digest,
+            state=RecordState.SENT,
+            owner=f"{self._owner_prefix(attempt)}{self._claim_counter}",
+            expires_at=attempt.expires_at,
+            zone=attempt.zone,
+            cell=attempt.cell,
+            executing_since=executing_since,
+        )
+        state.phase = ClaimPhase.CLAIMING
+        state.previous_owner = previous_owner
+        state.deadline = attempt.deadline
+        self._ask(state)
+
+    def _owner_prefix(self, attempt: AttemptRequested) -> str:
+        """Return what the owners of all claims for one request of this gateway begin with."""
+        return f"{self._session}/{attempt.request}/"
+
+    def _ask(self, state: _ClaimState) -> None:
+        assert state.wanted is not None
+        self._asked.pop(state.message_number, None)
+        self._message_counter += 1
+        state.message_number = self._message_counter
+        state.asked_host = self._directory.choose(state.newest_attempt.key, state.skipped_hosts)
+        self._retry_in(state, self._options.reply_timeout)
+        self._asked[state.message_number] = state.newest_attempt.request
+        completes = state.phase is ClaimPhase.COMPLETING
+        self._actions.append(
+            SendToPrimary(
+                state.asked_host, state.message_number, completes, state.wanted, state.previous_owner
+            )
+        )
+
+    def _retry_in(self, state: _ClaimState, delay: int) -> None:
+        """Arm a timer for the next try, or for the deadline if that is earlier. Microseconds."""
+        state.retry_at = self._now + delay
+        due = min(state.retry_at, state.deadline)
+        heapq.heappush(self._timers, (due, state.newest_attempt.request))
+
+    def _check_timers(self, state: _ClaimState) -> None:
+        if state.phase is ClaimPhase.IDLE:
             return
-        if self._now >= kept.by:
-            self._too_late(kept, "no home answers")
-        elif self._now >= kept.again_at:
-            if kept.number in self._asked:  # it has said nothing
-                kept.skipped.append(kept.holder)
-            self._ask(kept)
-
-    def _too_late(self, kept: _ClaimState, why: str) -> None:
-        match kept.step:
+        if self._now >= state.deadline:
+            self._on_deadline_passed(state, "no home answers")
+        elif self._now >= state.retry_at:
+            if state.message_number in self._asked:  # the host has not replied
+                state.skipped_hosts.append(state.asked_host)
+            self._ask(state)
+
+    def _on_deadline_passed(self, state: _ClaimState, reason: str) -> None:
+        match state.phase:
             case ClaimPhase.CLAIMING:
-                kept.step = ClaimPhase.IDLE
-                self._refuse(kept, why)
+                state.phase = ClaimPhase.IDLE
+                self._abandon(state, reason)
             case ClaimPhase.COMPLETING:
-                self._out.append(WithholdAnswer(kept.told.request, why))
-                self._forget(kept)
+                self._actions.append(WithholdAnswer(state.newest_attempt.request, reason))
+                self._forget(state)
             case _:
-                self._forget(kept)
+                self._forget(state)
 
-    def _heard(self, heard: PrimaryReplied) -> None:
-        command = self._asked.pop(heard.number, None)
-        if command is None or (kept := self._kept.get(command)) is None or kept.step is ClaimPhase.IDLE:
+    # Replies of the primary
+
+    def _on_primary_replied(self, reply: PrimaryReplied) -> None:
+        request = self._asked.pop(reply.number, None)
+        state = self._states.get(request) if request is not None else None
+        if state is None or state.phase is ClaimPhase.IDLE:
             return
-        if heard.primary:
-            self._homes[shard_of(kept.told.key, self._terms.shard_count)] = heard.primary
-        if heard.outcome == "promised":
-            self._promised(kept)
-        elif heard.outcome == "known" and heard.record is not None:
-            self._known(kept, heard.record)
-        elif self._now + self._terms.retry_pause >= kept.by:
-            self._too_late(kept, heard.reason)
-        elif heard.primary and heard.primary != kept.holder:
-            kept.skipped = [each for each in kept.skipped if each != heard.primary]
-            self._ask(kept)
+        if reply.primary:
+            self._directory.note_primary(state.newest_attempt.key, reply.primary)
+        if reply.outcome == ClaimOutcome.COMMITTED:
+            self._on_committed(state)
+        elif reply.outcome == ClaimOutcome.ALREADY_RECORDED and reply.record is not None:
+            self._on_already_recorded(state, reply.record)
+        else:
+            self._on_not_committed(state, reply)
+
+    def _on_not_committed(self, state: _ClaimState, reply: PrimaryReplied) -> None:
+        if self._now + self._options.retry_pause >= state.deadline:
+            self._on_deadline_passed(state, reply.reason)
+        elif reply.primary and reply.primary != state.asked_host:
+            state.skipped_hosts = [each for each in state.skipped_hosts if each != reply.primary]
+            self._ask(state)
         else:
-            if not heard.primary and heard.outcome == "unkept":
-                kept.skipped.append(kept.holder)
-            self._again_in(kept, self._terms.retry_pause)
+            if not reply.primary and reply.outcome == ClaimOutcome.NOT_COMMITTED:
+                state.skipped_hosts.append(state.asked_host)
+            self._retry_in(state, self._options.retry_pause)
 
-    def _promised(self, kept: _ClaimState) -> None:
-        match kept.step:
+    def _on_committed(self, state: _ClaimState) -> None:
+        match state.phase:
             case ClaimPhase.CLAIMING:
-                kept.mine, kept.wanted, kept.earlier = kept.wanted, None, None
-                if kept.waits is not None:
-                    self._let_go(kept)
-                kept.step = ClaimPhase.IDLE
+                state.claim = state.wanted
+                state.wanted = None
+                state.earlier_claim = None
+                if state.waiting_attempt is not None:
+                    self._release_attempt(state)
+                state.phase = ClaimPhase.IDLE
             case ClaimPhase.COMPLETING:
-                assert kept.wanted is not None
-                self._out.append(DeliverAnswer(kept.told.request, kept.wanted.answer))
-                self._forget(kept)
+                assert state.wanted is not None
+                self._actions.append(DeliverAnswer(state.newest_attempt.request, state.wanted.answer))
+                self._forget(state)
             case _:
-                self._forget(kept)
-
-    def _known(self, kept: _ClaimState, known: IdempotencyRecord) -> None:
-        told = kept.told
-        ours = known.owner.startswith(f"{self._session}/{told.request}/")
-        if kept.step is ClaimPhase.RELEASING:
-            self._forget(kept)
-        elif known.request_digest != told.request_digest:
-            self._back(kept)
-            self._out.append(WithholdAnswer(told.request, "its mark was used for another statement"))
-            self._forget(kept)
-        elif known.state is RecordState.ANSWERED:
-            self._back(kept)
-            self._out.append(DeliverAnswer(told.request, known.answer))
-            self._forget(kept)
-        elif ours:  # a claim before this one, whose answer was lost
-            self._claim(kept, known.owner, known.executing_since)
-        elif kept.earlier is not None and (known.zone, known.cell) == (told.zone, told.cell):
-            kept.earlier = known  # a third one was quicker, in the same place
-            self._claim(kept, known.owner, known.executing_since)
-        elif not told.may_retry and self._now + self._terms.retry_pause < told.deadline:
-            self._again_in(kept, self._terms.retry_pause)  # it may be answered any moment
+                self._forget(state)
+
+    def _on_already_recorded(self, state: _ClaimState, record: IdempotencyRecord) -> None:
+        attempt = state.newest_attempt
+        if state.phase is ClaimPhase.RELEASING:
+            self._forget(state)
+        elif record.request_digest != attempt.request_digest:
+            reason = "its mark was used for another statement"
+            self._end_with(state, WithholdAnswer(attempt.request, reason))
+        elif record.state is RecordState.ANSWERED:
+            self._end_with(state, DeliverAnswer(attempt.request, record.answer))
+        elif record.owner.startswith(self._owner_prefix(attempt)):  # an own claim, whose reply was lost
+            self._request_claim(state, record.owner, record.executing_since)
+        elif state.earlier_claim is not None and _same_place(record, attempt):
+            state.earlier_claim = record  # a third gateway was quicker, at the same endpoints
+            self._request_claim(state, record.owner, record.executing_since)
+        elif not attempt.may_retry and self._now + self._options.retry_pause < attempt.deadline:
+            self._retry_in(state, self._options.retry_pause)  # the other gateway may get an answer any moment
         else:
-            kept.earlier, kept.mine, kept.foreign = known, None, True
-            self._out.append(
-                ReportEarlierExecution(told.request, known.zone, known.cell, known.executing_since)
-            )
-            self._back(kept)
+            self._report_earlier_execution(state, record)
+
+    def _end_with(self, state: _ClaimState, action: DeliverAnswer | WithholdAnswer) -> None:
+        """End the request without any further attempt."""
+        self._return_waiting_attempt(state)
+        self._actions.append(action)
+        self._forget(state)
+
+    def _report_earlier_execution(self, state: _ClaimState, record: IdempotencyRecord) -> None:
+        state.earlier_claim = record
+        state.claim = None
+        state.executed_elsewhere = True
+        request = state.newest_attempt.request
+        self._actions.append(
+            ReportEarlierExecution(request, record.zone, record.cell, record.executing_since)
+        )
+        self._return_waiting_attempt(state)
+
+
+def _same_place(record: IdempotencyRecord, attempt: AttemptRequested) -> bool:
+    """Whether a record names the endpoints that an attempt goes to."""
+    return (record.zone, record.cell) == (attempt.zone, attempt.cell)
--- a/lotusstream/copies/shards.py
+++ b/lotusstream/copies/shards.py
@@ -1,4 +1,4 @@
-"""Where things are held: keys by shard, shards by rendezvous hashing over machines and zones."""
+"""Placement: keys belong to shards by hash, shards to hosts by rendezvous hashing over machines and zones."""
 
 from __future__ import annotations
 
@@ -8,48 +8,56 @@
 import msgspec
 
 DEFAULT_SHARD_COUNT = 64
+HASH_BYTES = 8
 
 
 class ReplicaId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A holder is its disk: the same name on another disk is another holder, and has nothing."""
+    """A gateway with its disk: the same name on another disk is another replica, and holds nothing."""
 
-    name: str
+    name: str  # of the gateway
     disk: str
 
 
 class ReplicaHost(msgspec.Struct, frozen=True, array_like=True):
+    """Where a replica runs."""
+
     replica_id: ReplicaId
     machine: str
     zone: str
 
 
-def shard_of(key: str, shards: int = DEFAULT_SHARD_COUNT) -> int:
-    return int.from_bytes(blake2b(key.encode(), digest_size=8).digest()) % shards
+def shard_of(key: str, shard_count: int = DEFAULT_SHARD_COUNT) -> int:
+    """Return the shard of an idempotency key."""
+    return int.from_bytes(blake2b(key.encode(), digest_size=HASH_BYTES).digest()) % shard_count
 
 
-def _rendezvous_weight(shard: int, holder: ReplicaHost) -> int:
-    """By name, not by disk: a holder that comes back on a new disk gets what it had."""
-    told = f"{shard}/{holder.replica_id.name}".encode()
-    return int.from_bytes(blake2b(told, digest_size=8).digest())
+def _rendezvous_weight(shard: int, host: ReplicaHost) -> int:
+    """Return a host's weight, by name and not by disk: with a new disk it gets the same shards again."""
+    text = f"{shard}/{host.replica_id.name}".encode()
+    return int.from_bytes(blake2b(text, digest_size=HASH_BYTES).digest())
 
 
 def choose_hosts(
-    shard: int, holders: Iterable[ReplicaHost], count: int, among: Iterable[ReplicaHost] = ()
+    shard: int, hosts: Iterable[ReplicaHost], count: int, chosen: Iterable[ReplicaHost] = ()
 ) -> list[ReplicaHost]:
-    """Those to take in beside `among`, so that there are `count`: never two on one machine, and in as many
-    zones as can be. Rendezvous hashing (Thaler and Ravishankar 1998): few shards move as holders come and go.
+    """Choose hosts for a shard, never two on one machine, and in as many zones as possible.
+
+    Rendezvous hashing (Thaler and Ravishankar 1998): few shards move as hosts come and go.
+
+    :param count: how many hosts the shard is to have, with those `chosen` before.
+    :returns: the hosts to add, fewer where there are not enough machines.
     """
-    taken = list(among)
-    found = list[ReplicaHost]()
-    left = sorted(holders, key=lambda each: (-_rendezvous_weight(shard, each), each.replica_id))
+    taken = list(chosen)
+    added: list[ReplicaHost] = []
+    candidates = sorted(hosts, key=lambda each: (-_rendezvous_weight(shard, each), each.replica_id))
     while len(taken) < count:
         machines = {each.machine for each in taken}
         zones = {each.zone for each in taken}
-        free = [each for each in left if each.machine not in machines]
-        if not free:
+        eligible = [each for each in candidates if each.machine not in machines]
+        if not eligible:
             break
-        best = next((each for each in free if each.zone not in zones), free[0])
+        best = next((each for each in eligible if each.zone not in zones), eligible[0])
         taken.append(best)
-        found.append(best)
-        left.remove(best)
-    return found
+        added.append(best)
+        candidates.remove(best)
+    return added
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -10,13 +10,11 @@
 
 import msgspec
 
-from lotusstream.copies import idempotency, replica_events
+from lotusstream.copies import claim_events, replica_events
 from lotusstream.copies.anti_entropy import RANGE_COUNT
-from lotusstream.copies.idempotency import (
+from lotusstream.copies.claim_events import (
     AbandonRequest,
     AttemptRequested,
-    ClaimCoordinator,
-    ClaimOptions,
     ClaimTimeAdvanced,
     DeliverAnswer,
     EndpointAnswered,
@@ -28,6 +26,7 @@
     SendToPrimary,
     WithholdAnswer,
 )
+from lotusstream.copies.idempotency import ClaimCoordinator, ClaimOptions
 from lotusstream.copies.messages import IdempotencyRecord, LogRecord, ReplicaMessage, ShardAssignment
 from lotusstream.copies.replica import ReplicaSet
 from lotusstream.copies.replica_events import (
@@ -418,7 +417,7 @@
             by = self.now + 2 * S
             self._claim(node, RequestEnded(flow.number, flow.ran, frozenset(flow.out), by))
 
-    def _claim(self, node: GatewayNode, event: idempotency.Event) -> None:
+    def _claim(self, node: GatewayNode, event: claim_events.Event) -> None:
         for action in node.claims.handle(self.now, event):
             flow = None if isinstance(action, SendToPrimary) else node.flows.get(action.request)
             match action:
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -10,13 +10,11 @@
 from hashlib import blake2b
 
 from lotusstream import interface as api
-from lotusstream.copies import idempotency
-from lotusstream.copies.idempotency import (
+from lotusstream.copies import claim_events
+from lotusstream.copies.claim_events import (
     AbandonRequest,
     AttemptCancelled,
     AttemptRequested,
-    ClaimCoordinator,
-    ClaimOptions,
     ClaimTimeAdvanced,
     DeliverAnswer,
     EndpointAnswered,
@@ -28,6 +26,7 @@
     SendToPrimary,
     WithholdAnswer,
 )
+from lotusstream.copies.idempotency import ClaimCoordinator, ClaimOptions
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.deployment import Deployment
 from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
@@ -130,7 +129,7 @@
             )
         )  # fmt: skip
 
-    def _take(self, event: idempotency.Event) -> None:
+    def _take(self, event: claim_events.Event) -> None:
         counters, post = self.supervisor.counters, self._decider.post
         for action in self.claims.handle(self._clock.now(), event):
             match action:
