--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -8,6 +8,7 @@
 from typing import Any
 from unittest import mock
 
+from lotusstream.copies.assignment_policy import AssignmentPolicy
 from lotusstream.copies.catch_up import CatchUpSender
 from lotusstream.copies.claim_events import AttemptRequested, DeliverAnswer, EndpointAnswered, RequestEnded
 from lotusstream.copies.idempotency import ClaimCoordinator, ClaimPhase
@@ -15,7 +16,6 @@
 from lotusstream.copies.primary import PrimaryRole
 from lotusstream.copies.replica_context import ReplicaContext, ReplicaOutbox
 from lotusstream.copies.replica_events import ClaimRequested
-from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import shard_of
 from lotusstream.lab.copies import ReplicationScenario, ReplicationWorld, play
@@ -55,17 +55,17 @@
 
 
 def _joining_counts_at_once() -> Any:
-    """A disk that is being filled may become the home."""
-    mend = ShardController._mend
+    """A replica that catches up may become primary."""
+    repaired = AssignmentPolicy.repaired
 
-    def eager(self: ShardController, now: int, known: ShardAssignment, out: Any) -> bool:
-        whole = replace_assigned(known)
-        return mend(self, now, whole, out)
+    def repaired_with_joining(self: AssignmentPolicy, known: ShardAssignment) -> ShardAssignment | None:
+        return repaired(self, with_joining_as_backups(known))
 
-    return mock.patch.object(ShardController, "_mend", eager)
+    return mock.patch.object(AssignmentPolicy, "repaired", repaired_with_joining)
 
 
-def replace_assigned(known: ShardAssignment) -> ShardAssignment:
+def with_joining_as_backups(known: ShardAssignment) -> ShardAssignment:
+    """Return the assignment with all joining replicas as backups."""
     backups = (*known.backups, *known.joining)
     return ShardAssignment(known.shard, known.epoch, known.primary, known.session, backups)
 
--- a/lotusstream/copies/replica.py
+++ b/lotusstream/copies/replica.py
@@ -12,6 +12,7 @@
 from lotusstream.copies.backup import BackupRole
 from lotusstream.copies.catch_up import CatchUpSender
 from lotusstream.copies.messages import CatchUpPartAck, ReplicaMessage
+from lotusstream.copies.options import ReplicationOptions
 from lotusstream.copies.primary import PrimaryRole
 from lotusstream.copies.replica_context import ReplicaContext
 from lotusstream.copies.replica_events import (
@@ -26,7 +27,6 @@
     ReplicaTimeAdvanced,
     ShutdownStarted,
 )
-from lotusstream.copies.shard_controller import ReplicationOptions
 from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import ReplicaId
 
--- a/lotusstream/copies/replica_context.py
+++ b/lotusstream/copies/replica_context.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from lotusstream.copies.messages import LogRecord, ReplicaMessage, StaleEpoch
+from lotusstream.copies.options import ReplicationOptions
 from lotusstream.copies.replica_events import Action, NotCommitted, PersistLogRecords, SendReplicaMessage
-from lotusstream.copies.shard_controller import ReplicationOptions
 from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import ReplicaId
 
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -26,8 +26,19 @@
     SendToPrimary,
     WithholdAnswer,
 )
+from lotusstream.copies.controller_events import (
+    AssignmentAgreed,
+    AssignmentRejected,
+    AssignmentsLoaded,
+    ControllerTimeAdvanced,
+    GrantReplicaLease,
+    HeartbeatReceived,
+    LoadAssignments,
+    ProposeAssignment,
+)
 from lotusstream.copies.idempotency import ClaimCoordinator, ClaimOptions
 from lotusstream.copies.messages import IdempotencyRecord, LogRecord, ReplicaMessage, ShardAssignment
+from lotusstream.copies.options import ReplicationOptions
 from lotusstream.copies.replica import ReplicaSet
 from lotusstream.copies.replica_events import (
     AlreadyRecorded,
@@ -45,18 +56,7 @@
     SendReplicaMessage,
     ShutdownStarted,
 )
-from lotusstream.copies.shard_controller import (
-    AssignmentAgreed,
-    AssignmentRejected,
-    AssignmentsLoaded,
-    ControllerTimeAdvanced,
-    GrantReplicaLease,
-    HeartbeatReceived,
-    LoadAssignments,
-    ProposeAssignment,
-    ReplicationOptions,
-    ShardController,
-)
+from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.lab.world import MS, Node, S, Span, World
--- a/lotusstream/net/copies.py
+++ b/lotusstream/net/copies.py
@@ -15,6 +15,18 @@
 import msgspec
 
 from lotusstream.copies import replica_events
+from lotusstream.copies.controller_events import (
+    AssignmentAgreed,
+    AssignmentRejected,
+    AssignmentsLoaded,
+    ControllerTimeAdvanced,
+    GrantReplicaLease,
+    HeartbeatReceived,
+    LoadAssignments,
+    MachinesDrained,
+    ProposeAssignment,
+    ReportRedundancy,
+)
 from lotusstream.copies.messages import (
     LogRecord,
     OperationLogRecord,
@@ -22,6 +34,7 @@
     SnapshotLogRecord,
     snapshot_log_records,
 )
+from lotusstream.copies.options import ReplicationOptions
 from lotusstream.copies.replica import ReplicaSet
 from lotusstream.copies.replica_events import (
     AlreadyRecorded,
@@ -39,20 +52,7 @@
     SendReplicaMessage,
     ShutdownStarted,
 )
-from lotusstream.copies.shard_controller import (
-    AssignmentAgreed,
-    AssignmentRejected,
-    AssignmentsLoaded,
-    ControllerTimeAdvanced,
-    GrantReplicaLease,
-    HeartbeatReceived,
-    LoadAssignments,
-    MachinesDrained,
-    ProposeAssignment,
-    ReplicationOptions,
-    ReportRedundancy,
-    ShardController,
-)
+from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId, shard_of
 from lotusstream.net import clock, raft_node
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from lotusstream.copies.shard_controller import ReplicationOptions
+from lotusstream.copies.options import ReplicationOptions
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT
 from lotusstream.healthcheck.reports import HealthCheckOptions
 from lotusstream.leases.granter import LeaseTiming
--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -7,6 +7,16 @@
 
 from benchmarks.planted_copies import PLANTED, caught
 from lotusstream.copies.anti_entropy import Divergence, find_divergence
+from lotusstream.copies.controller_events import (
+    AssignmentAgreed,
+    AssignmentRejected,
+    AssignmentsLoaded,
+    ControllerTimeAdvanced,
+    GrantReplicaLease,
+    HeartbeatReceived,
+    LoadAssignments,
+    ProposeAssignment,
+)
 from lotusstream.copies.messages import (
     CatchUpData,
     IdempotencyRecord,
@@ -32,17 +42,7 @@
     SendReplicaMessage,
     ShutdownStarted,
 )
-from lotusstream.copies.shard_controller import (
-    AssignmentAgreed,
-    AssignmentRejected,
-    AssignmentsLoaded,
-    ControllerTimeAdvanced,
-    GrantReplicaLease,
-    HeartbeatReceived,
-    LoadAssignments,
-    ProposeAssignment,
-    ShardController,
-)
+from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId, choose_hosts, shard_of
 from lotusstream.lab.copies import OPTIONS, ReplicationScenario, ReplicationWorld, play
