--- a/lotusstream/copies/catch_up.py
+++ b/lotusstream/copies/catch_up.py
@@ -143,7 +143,7 @@
 
     def _has_stalled(self, transfer: CatchUpTransfer) -> bool:
         waited = self._context.now - transfer.last_progress_at
-        return transfer.resume_at is None and waited > self._context.options.leases.length
+        return transfer.resume_at is None and waited > self._context.options.leases.duration_us
 
 
 def _has_common_prefix(shard: ShardReplica, position: Position) -> bool:
--- a/lotusstream/copies/primary.py
+++ b/lotusstream/copies/primary.py
@@ -106,7 +106,7 @@
             return "too few disks are left for a promise"
         if shard.pending_commits:
             waited = self._context.now - shard.pending_commits[0].requested_at
-            if waited > options.leases.length // LEASES_UNTIL_OVERLOADED_DIVISOR:
+            if waited > options.leases.duration_us // LEASES_UNTIL_OVERLOADED_DIVISOR:
                 return REASON_NO_ACKNOWLEDGEMENT
         if shard.more_advanced is not None:
             return REASON_MORE_ADVANCED
@@ -203,7 +203,7 @@
             self._commit(shard, assignment)
 
     def _request_positions(self, shard: ShardReplica, assignment: ShardAssignment) -> None:
-        interval = self._context.options.leases.length // POSITION_REQUESTS_PER_LEASE
+        interval = self._context.options.leases.duration_us // POSITION_REQUESTS_PER_LEASE
         if self._context.now < shard.positions_requested_at + interval:
             return
         shard.positions_requested_at = self._context.now
@@ -213,7 +213,7 @@
     def _fail_overdue(self, shard: ShardReplica) -> None:
         """Answer the requests that no commit has followed within a lease."""
         pending = shard.pending_commits
-        lease_length = self._context.options.leases.length
+        lease_length = self._context.options.leases.duration_us
         while pending and self._context.now - pending[0].requested_at > lease_length:
             ticket = pending.popleft().ticket
             self._context.outbox.emit(NotCommitted(ticket, REASON_NO_ACKNOWLEDGEMENT, "", True))
--- a/lotusstream/copies/replica.py
+++ b/lotusstream/copies/replica.py
@@ -103,7 +103,7 @@
     def _on_lease_renewed(self, event: LeaseRenewed) -> None:
         self._assignments.note_epochs(event.epochs)
         leases = self._context.options.leases
-        lease_until = event.heartbeat_sent_at + leases.length - leases.margin
+        lease_until = event.heartbeat_sent_at + leases.duration_us - leases.safety_margin_us
         self._context.lease_until = max(self._context.lease_until, lease_until)
 
     def _on_time_advanced(self, event: ReplicaTimeAdvanced) -> None:
--- a/lotusstream/copies/shard_controller.py
+++ b/lotusstream/copies/shard_controller.py
@@ -49,7 +49,7 @@
         :param now: microseconds of a monotonic clock.
         """
         self._options = options
-        self._hosts = HostRegistry(options.leases.length, now)
+        self._hosts = HostRegistry(options.leases.duration_us, now)
         self._policy = AssignmentPolicy(options, self._hosts)
         self.assignments = {each.shard: each for each in assignments}
         self._proposals: dict[int, _Proposal] = {}  # by shard
@@ -122,7 +122,7 @@
 
     def _expire_proposals(self) -> None:
         """Take the answers of old proposals for lost; to propose again is safe, no epoch is taken twice."""
-        expired_at = self._now - self._options.leases.length // 2
+        expired_at = self._now - self._options.leases.duration_us // 2
         for shard, proposal in list(self._proposals.items()):
             if proposal.proposed_at <= expired_at:
                 del self._proposals[shard]
@@ -159,7 +159,7 @@
 
     def _load_if_due(self) -> None:
         """Read all assignments once in a lease."""
-        if self._now - self._loaded_at >= self._options.leases.length:
+        if self._now - self._loaded_at >= self._options.leases.duration_us:
             self._loaded_at = self._now
             self._actions.append(LoadAssignments())
 
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -65,11 +65,11 @@
         tell: Callable[[str, wire.PeerFrame], None], supervisor: Supervisor,
     ) -> None:  # fmt: skip
         super().__init__("promises", supervisor)
-        assert told.copies is not None and told.remember is not None
-        self._deployment, self._remember = deployment, told.remember
+        assert told.copies is not None and told.idempotency_retention_us is not None
+        self._deployment, self._remember = deployment, told.idempotency_retention_us
         self._decider, self._clock, self._tell = decider, clock, tell
-        holders = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in told.holders]
-        patience = told.patience // CLAIM_TIME_DIVISOR
+        holders = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in told.replicas]
+        patience = told.peer_timeout_us // CLAIM_TIME_DIVISOR
         terms = ClaimOptions(told.copies.shard_count, told.copies.replica_count, patience, patience // 8)
         self.claims = ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
         self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -129,10 +129,10 @@
     """Seed 275: it took a shard for whole that had been left with one copy, and mended it never."""
     known = ShardAssignment(0, 14, HOME, "s", (COPY, OLD))
     manager = ShardController(OPTIONS, [known], 0)
-    actions = manager.handle(OPTIONS.leases.length, ControllerTimeAdvanced())
+    actions = manager.handle(OPTIONS.leases.duration_us, ControllerTimeAdvanced())
     assert LoadAssignments() in actions
     now = ShardAssignment(0, 15, HOME, "s", (COPY,))
-    manager.handle(OPTIONS.leases.length + 1, AssignmentsLoaded((now,)))
+    manager.handle(OPTIONS.leases.duration_us + 1, AssignmentsLoaded((now,)))
     assert manager.assignments[0] == now
 
 
@@ -172,9 +172,9 @@
     home.handle(0, LeaseRenewed(0, {shard: 4}))
     home.handle(0, MessageReceived(COPY, PositionReply(shard, 4, "c", 4, 1)))
     assert AlreadyRecorded(1, sent) in home.handle(1, ClaimRequested(1, sent_by("another"), 1))
-    home.handle(OPTIONS.leases.length, LeaseRenewed(OPTIONS.leases.length, {shard: 5}))
+    home.handle(OPTIONS.leases.duration_us, LeaseRenewed(OPTIONS.leases.duration_us, {shard: 5}))
     assert home.has_lease
-    told = home.handle(OPTIONS.leases.length, ClaimRequested(2, sent_by("another"), 1))
+    told = home.handle(OPTIONS.leases.duration_us, ClaimRequested(2, sent_by("another"), 1))
     assert [type(each) for each in told if isinstance(each, AlreadyRecorded | NotCommitted)] == [NotCommitted]
 
 
@@ -188,7 +188,7 @@
     manager = ShardController(OPTIONS, [ShardAssignment(0, 4, HOME, "g1", (COPY, OLD))], 0)
     for name, each in holders.items():
         manager.handle(0, HeartbeatReceived(each, name))
-    late = OPTIONS.leases.length
+    late = OPTIONS.leases.duration_us
     manager.handle(late - 1, HeartbeatReceived(holders["g2"], "g2"))
     told = manager.handle(late, HeartbeatReceived(holders["g3"], "g3"))
     (asked,) = [a.assignment for a in told if isinstance(a, ProposeAssignment) and a.assignment.shard == 0]
