--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -265,7 +265,7 @@
     supervisor = Supervisor()
     around = TaskContext("g1", lambda: next(looks, 5), lambda _: None, supervisor, put)
     task = ShardControllerTask(around, OPTIONS, lambda *_: None, put, look)
-    task.begin(5)
+    task.activate(5)
     async with asyncio.timeout(10):
         while not task.decides:
             await asyncio.sleep(0.01)
