--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -8,174 +8,180 @@
 from typing import Any
 from unittest import mock
 
-from lotusstream.copies import idempotency as cl
-from lotusstream.copies import messages as ms
-from lotusstream.copies.idempotency import Claims
-from lotusstream.copies.replica import ReplicaSet, Shard
-from lotusstream.copies.shard_controller import ShardController
+from lotusstream.copies.assignment_policy import AssignmentPolicy
+from lotusstream.copies.catch_up import CatchUpSender
+from lotusstream.copies.claim_events import AttemptRequested, DeliverAnswer, EndpointAnswered, RequestEnded
+from lotusstream.copies.idempotency import ClaimCoordinator, ClaimPhase
+from lotusstream.copies.messages import IdempotencyRecord, PositionReply, RecordState, ShardAssignment
+from lotusstream.copies.primary import PrimaryRole
+from lotusstream.copies.replica_context import ReplicaContext, ReplicaOutbox
+from lotusstream.copies.replica_events import ClaimRequested
+from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import shard_of
-from lotusstream.lab.copies import CopyScene, CopyWorld, play
+from lotusstream.lab.copies import ReplicationScenario, ReplicationWorld, play
 from lotusstream.lab.world import Broken
 
-SCENE = CopyScene()
+SCENE = ReplicationScenario()
 
 
 @dataclass(frozen=True, slots=True)
-class Planted:
+class PlantedDefect:
     name: str
     breaks: Callable[[], contextlib.AbstractContextManager[Any]]
-    scene: CopyScene = SCENE
+    scene: ReplicationScenario = SCENE
 
 
 def _one_disk_is_enough() -> Any:
-    """Promised once the home's own disk has it."""
-    drive = ReplicaSet._drive
+    """An operation is committed once the primary's own disk has it."""
+    advance = PrimaryRole.advance
 
-    def hasty(self: ReplicaSet, shard: Shard) -> None:
-        copied, shard.copied = shard.copied, dict.fromkeys(shard.copies(), 1 << 60)
-        drive(self, shard)
-        shard.copied = copied
+    def advance_without_backups(self: PrimaryRole, shard: ShardReplica) -> None:
+        acknowledged = shard.acknowledged
+        shard.acknowledged = dict.fromkeys(shard.followers(), 1 << 60)
+        advance(self, shard)
+        shard.acknowledged = acknowledged
 
-    return mock.patch.object(ReplicaSet, "_drive", hasty)
+    return mock.patch.object(PrimaryRole, "advance", advance_without_backups)
 
 
 def _before_its_own_disk() -> Any:
-    """A copy says so before it has written a change down."""
-    say = ReplicaSet._say
-
-    def hasty(self: ReplicaSet, to: Any, word: Any, *, rests: bool) -> None:
-        say(self, to, word, rests=False)
-
-    return mock.patch.object(ReplicaSet, "_say", hasty)
+    """A backup acknowledges an operation before it has written it to its log."""
+    return mock.patch.object(ReplicaOutbox, "send_when_persisted", ReplicaOutbox.send)
 
 
 def _no_lease() -> Any:
-    """A home that is cut off goes on as one."""
-    return mock.patch.object(ReplicaSet, "leased", property(lambda self: True))
+    """A primary that is cut off goes on as one."""
+    return mock.patch.object(ReplicaContext, "has_lease", property(lambda self: True))
 
 
 def _joining_counts_at_once() -> Any:
-    """A disk that is being filled may become the home."""
-    mend = ShardController._mend
+    """A replica that catches up may become primary."""
+    repaired = AssignmentPolicy.repaired
 
-    def eager(self: ShardController, now: int, known: ms.Assigned, out: Any) -> bool:
-        whole = replace_assigned(known)
-        return mend(self, now, whole, out)
+    def repaired_with_joining(self: AssignmentPolicy, known: ShardAssignment) -> ShardAssignment | None:
+        return repaired(self, with_joining_as_backups(known))
 
-    return mock.patch.object(ShardController, "_mend", eager)
+    return mock.patch.object(AssignmentPolicy, "repaired", repaired_with_joining)
 
 
-def replace_assigned(known: ms.Assigned) -> ms.Assigned:
+def with_joining_as_backups(known: ShardAssignment) -> ShardAssignment:
+    """Return the assignment with all joining replicas as backups."""
     backups = (*known.backups, *known.joining)
-    return ms.Assigned(known.shard, known.epoch, known.home, known.session, backups)
+    return ShardAssignment(known.shard, known.epoch, known.primary, known.session, backups)
 
 
 def _wiped_disk_counts() -> Any:
     """A lost disk comes back empty under its old name."""
 
-    def lose(self: CopyWorld) -> None:
+    def lose(self: ReplicationWorld) -> None:
         node = self.draw.choice(list(self.gateways.values()))
         self.down(node)
         node.disk = type(node.disk)()
         self.back(node, 200_000)
 
-    return mock.patch.object(CopyWorld, "_fault_lose", lose)
+    return mock.patch.object(ReplicationWorld, "_fault_lose", lose)
 
 
 def _unpromised_is_told() -> Any:
-    """Whoever asks hears of a change that is not on all disks yet."""
-    able = ReplicaSet._able
+    """A client is told of a record that is not on all disks yet."""
+    writable_shard = PrimaryRole._writable_shard
 
-    def open_to_all(self: ReplicaSet, ticket: int, key: str) -> Shard | None:
-        shard = able(self, ticket, key)
+    def writable_and_readable(self: PrimaryRole, ticket: int, key: str) -> ShardReplica | None:
+        shard = writable_shard(self, ticket, key)
         if shard is not None:
-            shard.open_keys.pop(key, None)
+            shard.uncommitted_keys.pop(key, None)
         return shard
 
-    return mock.patch.object(ReplicaSet, "_able", open_to_all)
+    return mock.patch.object(PrimaryRole, "_writable_shard", writable_and_readable)
 
 
 def _repair_from_what_is_behind() -> Any:
-    """A copy is taken for whole whatever it lacks."""
-    fill = ReplicaSet._fill
+    """A backup that lags counts as up to date."""
+    start = CatchUpSender.start
 
-    def stale(self: ReplicaSet, shard: Shard, to: Any, stand: ms.Stand) -> None:
-        fill(self, shard, to, stand)
-        shard.copied[to] = shard.last[1]
+    def start_and_count(self: CatchUpSender, shard: ShardReplica, to: Any, reply: PositionReply) -> None:
+        start(self, shard, to, reply)
+        shard.acknowledged[to] = shard.position.sequence
 
-    return mock.patch.object(ReplicaSet, "_fill", stale)
+    return mock.patch.object(CatchUpSender, "start", start_and_count)
 
 
 def _sent_before_the_promise() -> Any:
-    """A send leaves with its claim on the way."""
-    claim = Claims._claim
+    """An attempt leaves while its claim is under way."""
+    request_claim = ClaimCoordinator._request_claim
 
-    def hasty(self: Claims, kept: Any, after: str, since: int) -> None:
-        claim(self, kept, after, since)
-        kept.mine = kept.wanted
-        if kept.waits is not None:
-            self._let_go(kept)
+    def claim_and_release(
+        self: ClaimCoordinator, state: Any, previous_owner: str, executing_since: int
+    ) -> None:
+        request_claim(self, state, previous_owner, executing_since)
+        state.claim = state.wanted
+        if state.waiting_attempt is not None:
+            self._release_attempt(state)
 
-    return mock.patch.object(Claims, "_claim", hasty)
+    return mock.patch.object(ClaimCoordinator, "_request_claim", claim_and_release)
 
 
 def _answered_before_it_is_held() -> Any:
-    answered = Claims._answered
+    """A client gets its answer before that is stored."""
+    on_endpoint_answered = ClaimCoordinator._on_endpoint_answered
 
-    def hasty(self: Claims, command: int, answer: bytes, by: int) -> None:
-        answered(self, command, answer, by)
-        self._out.append(cl.Give(command, answer))
+    def deliver_at_once(self: ClaimCoordinator, event: EndpointAnswered) -> None:
+        on_endpoint_answered(self, event)
+        self._actions.append(DeliverAnswer(event.request, event.answer))
 
-    return mock.patch.object(Claims, "_answered", hasty)
+    return mock.patch.object(ClaimCoordinator, "_on_endpoint_answered", deliver_at_once)
 
 
 def _a_repeat_is_new() -> Any:
-    """Taken over without a word to the module: sent wherever it was to go."""
-    known = Claims._known
+    """Another gateway's claim is replaced without a report to the decisions: sent wherever it was to go."""
+    on_already_recorded = ClaimCoordinator._on_already_recorded
 
-    def blind(self: Claims, kept: Any, holding: ms.Holding) -> None:
-        if kept.step is cl.Step.CLAIM and holding.state is ms.Held.SENT:
-            self._claim(kept, holding.gateway, holding.since)
+    def replace_silently(self: ClaimCoordinator, state: Any, record: IdempotencyRecord) -> None:
+        if state.phase is ClaimPhase.CLAIMING and record.state is RecordState.SENT:
+            self._request_claim(state, record.owner, record.executing_since)
         else:
-            known(self, kept, holding)
+            on_already_recorded(self, state, record)
 
-    return mock.patch.object(Claims, "_known", blind)
+    return mock.patch.object(ClaimCoordinator, "_on_already_recorded", replace_silently)
 
 
 def _moved_without_a_word() -> Any:
-    """The claim goes on naming the place of the first send."""
-    leaves = Claims._leaves
-
-    def lazy(self: Claims, told: cl.Leaves) -> None:
-        kept = self._kept.get(told.command)
-        if kept is not None and kept.mine is not None:
-            kept.told, kept.waits = told, told.send
-            self._let_go(kept)
+    """The claim goes on naming the endpoints of the first attempt."""
+    on_attempt_requested = ClaimCoordinator._on_attempt_requested
+
+    def release_with_old_claim(self: ClaimCoordinator, attempt: AttemptRequested) -> None:
+        state = self._states.get(attempt.request)
+        if state is not None and state.claim is not None:
+            state.newest_attempt = attempt
+            state.waiting_attempt = attempt.attempt
+            self._release_attempt(state)
         else:
-            leaves(self, told)
+            on_attempt_requested(self, attempt)
 
-    return mock.patch.object(Claims, "_leaves", lazy)
+    return mock.patch.object(ClaimCoordinator, "_on_attempt_requested", release_with_old_claim)
 
 
 def _any_claim_takes_over() -> Any:
-    """A home that does not compare before it sets."""
-    claim = ReplicaSet._claim
+    """A primary that does not compare the previous owner before it replaces a claim."""
+    on_claim_requested = PrimaryRole.on_claim_requested
 
-    def open_to_all(self: ReplicaSet, ticket: int, wanted: ms.Holding, unix: int, after: str) -> None:
-        number = shard_of(wanted.key, self._terms.shards)
-        known = self._shard(number).holdings.get(wanted.key)
-        claim(self, ticket, wanted, unix, known.gateway if known is not None else after)
+    def claim_always(self: PrimaryRole, request: ClaimRequested) -> None:
+        shard = self._context.shard(shard_of(request.record.key, self._context.options.shard_count))
+        known = shard.records.get(request.record.key)
+        owner = known.owner if known is not None else request.previous_owner
+        on_claim_requested(self, replace(request, previous_owner=owner))
 
-    return mock.patch.object(ReplicaSet, "_claim", open_to_all)
+    return mock.patch.object(PrimaryRole, "on_claim_requested", claim_always)
 
 
 def _taken_back_though_it_ran() -> Any:
-    over = Claims._over
+    """A claim is released although its request may have been executed."""
+    on_request_ended = ClaimCoordinator._on_request_ended
 
-    def careless(self: Claims, told: cl.Over) -> None:
-        over(self, replace(told, ran=False, out=frozenset()))
+    def release_always(self: ClaimCoordinator, event: RequestEnded) -> None:
+        on_request_ended(self, replace(event, may_have_executed=False, unfinished_attempts=frozenset()))
 
-    return mock.patch.object(Claims, "_over", careless)
+    return mock.patch.object(ClaimCoordinator, "_on_request_ended", release_always)
 
 
 HARD = replace(SCENE, faults=("lose", "lose", "crash", "cut"), fault_every=500_000)
@@ -190,27 +196,27 @@
 )  # fmt: skip
 AGAIN = replace(SCENE, repeat=0.7, patience=700_000, unrun=0.4, clients=6)
 PLANTED = (
-    Planted("a send leaves before its promise", _sent_before_the_promise, AGAIN),
-    Planted("an answer before it is held", _answered_before_it_is_held, AGAIN),
-    Planted("a repeat is taken for new", _a_repeat_is_new, AGAIN),
-    Planted("a claim that moves without a word", _moved_without_a_word, AGAIN),
-    Planted("a claim that takes over unasked", _any_claim_takes_over, AGAIN),
-    Planted("a claim taken back though it ran", _taken_back_though_it_ran, AGAIN),
-    Planted("promised on one disk", _one_disk_is_enough, HARD),
-    Planted("a copy answers before its disk", _before_its_own_disk, replace(POWER, sync=300_000)),
-    Planted("a home without a lease", _no_lease, CUTS),
-    Planted("a joining disk becomes home", _joining_counts_at_once, HARD),
-    Planted("a wiped disk counts", _wiped_disk_counts, HARD),
-    Planted("what may be lost is told", _unpromised_is_told, ASKED),
-    Planted(  # without the comparing of copies, which would find it in the end
+    PlantedDefect("a send leaves before its promise", _sent_before_the_promise, AGAIN),
+    PlantedDefect("an answer before it is held", _answered_before_it_is_held, AGAIN),
+    PlantedDefect("a repeat is taken for new", _a_repeat_is_new, AGAIN),
+    PlantedDefect("a claim that moves without a word", _moved_without_a_word, AGAIN),
+    PlantedDefect("a claim that takes over unasked", _any_claim_takes_over, AGAIN),
+    PlantedDefect("a claim taken back though it ran", _taken_back_though_it_ran, AGAIN),
+    PlantedDefect("promised on one disk", _one_disk_is_enough, HARD),
+    PlantedDefect("a copy answers before its disk", _before_its_own_disk, replace(POWER, sync=300_000)),
+    PlantedDefect("a home without a lease", _no_lease, CUTS),
+    PlantedDefect("a joining disk becomes home", _joining_counts_at_once, HARD),
+    PlantedDefect("a wiped disk counts", _wiped_disk_counts, HARD),
+    PlantedDefect("what may be lost is told", _unpromised_is_told, ASKED),
+    PlantedDefect(  # without the comparing of copies, which would find it in the end
         "a repair from what is behind",
         _repair_from_what_is_behind,
-        replace(HARD, loss=0.2, terms=replace(HARD.terms, scrub=0)),
+        replace(HARD, loss=0.2, terms=replace(HARD.terms, anti_entropy_interval=0)),
     ),
 )
 
 
-def caught(planted: Planted, seeds: int) -> tuple[int, str] | None:
+def caught(planted: PlantedDefect, seeds: int) -> tuple[int, str] | None:
     """The first seed that shows a broken promise, and what it says; not one that only never ends."""
     with planted.breaks():
         for seed in range(seeds):
--- a/lotusstream/copies/messages.py
+++ b/lotusstream/copies/messages.py
@@ -1,4 +1,7 @@
-"""What holders tell each other and write down."""
+"""What replicas send to each other and write to their logs.
+
+The order of fields and the tags are the form on the wire and on disk: they stay, while names may change.
+"""
 
 from __future__ import annotations
 
@@ -7,146 +10,165 @@
 
 import msgspec
 
-from lotusstream.copies.shards import Place
+from lotusstream.copies.shards import ReplicaId
+
+RECORD_OVERHEAD_BYTES = 64  # estimate of all fields of fixed size
 
 
-class Held(IntEnum):
-    SENT = 1  # a gateway was to send it: it may have run
-    ANSWERED = 2
-    UNRUN = 3  # its gateway gave it up, and nothing had left
+class RecordState(IntEnum):
+    """How far a request with an idempotency key has got."""
 
+    SENT = 1  # a gateway was to send it: it may have been executed
+    ANSWERED = 2  # its answer is stored for repeats
+    NOT_EXECUTED = 3  # its gateway abandoned it before any attempt had left
 
-class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one key. `print`: of its statement; `gateway`: who sent it. `until`: microseconds of
-    the Unix clock, from when on it is as if never seen. `since`: from when on it may have run. `zone` and
-    `cell`: of the engines that drop its repeats, as far as that matters."""
+
+class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
+    """What is known of one idempotency key. Times are microseconds of the Unix clock."""
 
     key: str
-    print: str
-    state: Held
-    gateway: str
-    until: int
+    request_digest: str  # of the profile and the statement: a key stands for one request
+    state: RecordState
+    owner: str  # the claim that stored this, of one gateway's run
+    expires_at: int  # from here on the key is as if never seen
     answer: bytes = b""
-    zone: str = ""
-    cell: int = -1
-    since: int = 0
+    zone: str = ""  # of the endpoints that drop repeats of the request; "": of any zone
+    cell: int = -1  # likewise; -1: of any cell
+    executing_since: int = 0  # from here on it may have been executed
 
 
-class Op(msgspec.Struct, frozen=True, array_like=True):
-    """One change of one shard. `epoch`: in which it was made."""
+class Operation(msgspec.Struct, frozen=True, array_like=True):
+    """One change of one shard."""
 
-    epoch: int
-    seq: int
-    holding: Holding
+    epoch: int  # in which it was made
+    sequence: int  # counts the operations of a shard over all epochs
+    record: IdempotencyRecord
 
 
-class Assigned(msgspec.Struct, frozen=True, array_like=True):
-    """Who holds a shard in an epoch, as agreed in the quorum. `session`: the run of the home's program that
-    may act. `joining` get everything and count for nothing yet."""
+class ShardAssignment(msgspec.Struct, frozen=True, array_like=True):
+    """Which replicas hold a shard in an epoch, as agreed in the quorum."""
 
     shard: int
     epoch: int
-    home: Place
-    session: str
-    backups: tuple[Place, ...] = ()
-    joining: tuple[Place, ...] = ()
+    primary: ReplicaId
+    session: str  # the run of the primary's program that may act
+    backups: tuple[ReplicaId, ...] = ()  # a commit waits for all of them
+    joining: tuple[ReplicaId, ...] = ()  # catch up, and do not count yet
 
     @property
-    def all(self) -> tuple[Place, ...]:
-        return (self.home, *self.backups, *self.joining)
+    def members(self) -> tuple[ReplicaId, ...]:
+        """The primary, the backups and the joining replicas."""
+        return (self.primary, *self.backups, *self.joining)
+
 
+# Records of the log
 
-# Written down
 
+class TaggedLogRecord(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+    """Base of the records of the log."""
 
-class Kept(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
-    pass
 
+class OperationLogRecord(TaggedLogRecord, frozen=True, tag="op"):
+    """An operation that was applied."""
 
-class KeptOp(Kept, frozen=True, tag="op"):
     shard: int
-    op: Op
+    operation: Operation
 
 
-class KeptWhole(Kept, frozen=True, tag="whole"):
-    """A shard in place of all that was known of it, once its last part is there. `part`: from 0 on; `parts`:
-    how many there are."""
+class SnapshotLogRecord(TaggedLogRecord, frozen=True, tag="whole"):
+    """A part of a snapshot that replaces a shard once its last part is in the log."""
 
     shard: int
-    epoch: int
-    seq: int
-    holdings: tuple[Holding, ...]
-    part: int = 0
-    parts: int = 1
+    epoch: int  # with `sequence` the position of the snapshot
+    sequence: int
+    records: tuple[IdempotencyRecord, ...]
+    part: int = 0  # index of this part
+    part_count: int = 1
+
 
+LogRecord = OperationLogRecord | SnapshotLogRecord
 
-Record = KeptOp | KeptWhole
 
+def estimated_bytes(record: IdempotencyRecord) -> int:
+    """Return about how many bytes a record takes on the wire or on disk."""
+    variable = record.key, record.request_digest, record.owner, record.answer
+    return RECORD_OVERHEAD_BYTES + sum(map(len, variable))
 
-def size_of(holding: Holding) -> int:
-    """About so many bytes on a line or a disk."""
-    told = holding.key, holding.print, holding.gateway, holding.answer
-    return 64 + sum(map(len, told))
 
+def split_into_parts(
+    records: Iterable[IdempotencyRecord], part_bytes: int
+) -> list[tuple[IdempotencyRecord, ...]]:
+    """Split records into parts, since frames and log records are bounded.
 
-def in_parts(holdings: Iterable[Holding], most: int) -> list[tuple[Holding, ...]]:
-    """One at least. Each of `most` bytes or a little more: frames and records are bounded."""
-    parts, part, size = list[tuple[Holding, ...]](), list[Holding](), 0
-    for each in holdings:
-        part.append(each)
-        size += size_of(each)
-        if size >= most:
+    :param part_bytes: a part ends with the record that reaches this size.
+    :returns: at least one part, an empty one where there are no records.
+    """
+    parts: list[tuple[IdempotencyRecord, ...]] = []
+    part: list[IdempotencyRecord] = []
+    size_bytes = 0
+    for record in records:
+        part.append(record)
+        size_bytes += estimated_bytes(record)
+        if size_bytes >= part_bytes:
             parts.append(tuple(part))
-            part, size = [], 0
-    return [*parts, tuple(part)] if part or not parts else parts
+            part = []
+            size_bytes = 0
+    if part or not parts:
+        parts.append(tuple(part))
+    return parts
 
 
-def kept_whole(shard: int, last: tuple[int, int], holdings: Iterable[Holding], most: int) -> list[KeptWhole]:
-    parts = in_parts(holdings, most)
-    return [KeptWhole(shard, *last, part, at, len(parts)) for at, part in enumerate(parts)]
+def snapshot_log_records(
+    shard: int, position: tuple[int, int], records: Iterable[IdempotencyRecord], part_bytes: int
+) -> list[SnapshotLogRecord]:
+    """Return the log records of a snapshot.
 
+    :param position: epoch and sequence of the newest operation in it.
+    """
+    parts = split_into_parts(records, part_bytes)
+    return [SnapshotLogRecord(shard, *position, part, index, len(parts)) for index, part in enumerate(parts)]
 
-# Told
 
+# Messages between replicas
 
-class Word(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
-    pass
 
+class TaggedMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
+    """Base of the messages between replicas."""
 
-class Begin(Word, frozen=True, tag="begin"):
-    """The home of an epoch asks where a copy stands."""
 
-    assigned: Assigned
+class PositionRequest(TaggedMessage, frozen=True, tag="begin"):
+    """The primary of an epoch asks a replica for its position."""
 
+    assignment: ShardAssignment
 
-class Stand(Word, frozen=True, tag="stand"):
-    """The copy's last change. `session`: of this run of the copy."""
+
+class PositionReply(TaggedMessage, frozen=True, tag="stand"):
+    """A replica's position, which is on its disk."""
 
     shard: int
     epoch: int
-    session: str
-    last_epoch: int
-    last_seq: int
+    session: str  # run of the replica's program
+    last_epoch: int  # with `last_sequence` the newest operation
+    last_sequence: int
 
 
-class Fill(Word, frozen=True, tag="fill"):
-    """Everything, in place of what the copy has, one part after the other; or, with `after`, changes that
-    follow that one. `begun`: tells one filling from another."""
+class CatchUpData(TaggedMessage, frozen=True, tag="fill"):
+    """What a replica lacks: the operations after a position, or one part of a snapshot."""
 
     shard: int
     epoch: int
-    after: int
-    last_epoch: int
-    last_seq: int
-    holdings: tuple[Holding, ...] = ()
-    ops: tuple[Op, ...] = ()
-    part: int = 0
-    parts: int = 1
-    begun: int = 0
+    after: int  # the operations follow this sequence; -1: part of a snapshot
+    last_epoch: int  # with `last_sequence` the primary's position
+    last_sequence: int
+    records: tuple[IdempotencyRecord, ...] = ()  # of a snapshot's part
+    operations: tuple[Operation, ...] = ()
+    part: int = 0  # index of the part
+    part_count: int = 1
+    started_at: int = 0  # microseconds of the primary's clock: tells one transfer from another
 
 
-class Filled(Word, frozen=True, tag="filled"):
-    """The copy has this part, not on its disk yet: the next one may come."""
+class CatchUpPartAck(TaggedMessage, frozen=True, tag="filled"):
+    """A replica has received this part, not on its disk yet: the next one may follow."""
 
     shard: int
     epoch: int
@@ -154,45 +176,59 @@
     part: int
 
 
-class Copy(Word, frozen=True, tag="copy"):
+class Replicate(TaggedMessage, frozen=True, tag="copy"):
+    """The primary's newest operation."""
+
     shard: int
     epoch: int
-    op: Op
+    operation: Operation
 
 
-class Copied(Word, frozen=True, tag="copied"):
-    """On the disk of the copy, up to this change."""
+class ReplicateAck(TaggedMessage, frozen=True, tag="copied"):
+    """A replica has all operations up to this one on its disk."""
 
     shard: int
     epoch: int
     session: str
-    seq: int
+    sequence: int
 
 
-class Deposed(Word, frozen=True, tag="deposed"):
-    """There is a later epoch than the one that speaks."""
+class StaleEpoch(TaggedMessage, frozen=True, tag="deposed"):
+    """A later epoch has begun than that of the message that this answers."""
 
     shard: int
-    epoch: int
+    epoch: int  # the later one
 
 
-class Compare(Word, frozen=True, tag="compare"):
-    """A copy that stands there too is asked for its sum of this range, of what is kept after `kept_after`."""
+class DigestRequest(TaggedMessage, frozen=True, tag="compare"):
+    """The primary asks a backup at the same position for the digest of a range of keys."""
 
     shard: int
     epoch: int
-    seq: int
-    range: int
-    kept_after: int
+    sequence: int
+    key_range: int  # index of the range
+    expires_after: int  # microseconds of the Unix clock: records that expire by then are left out
 
 
-class Compared(Word, frozen=True, tag="compared"):
+class DigestReply(TaggedMessage, frozen=True, tag="compared"):
+    """A backup's digest."""
+
     shard: int
     epoch: int
     session: str
-    seq: int
-    range: int
-    sum: bytes
-
-
-AnyWord = Begin | Stand | Fill | Filled | Copy | Copied | Deposed | Compare | Compared
+    sequence: int
+    key_range: int
+    digest: bytes
+
+
+ReplicaMessage = (
+    PositionRequest
+    | PositionReply
+    | CatchUpData
+    | CatchUpPartAck
+    | Replicate
+    | ReplicateAck
+    | StaleEpoch
+    | DigestRequest
+    | DigestReply
+)
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -10,8 +10,24 @@
 from hashlib import blake2b
 
 from lotusstream import interface as api
-from lotusstream.copies import idempotency as cl
-from lotusstream.copies.shards import Holder, Place
+from lotusstream.copies import claim_events
+from lotusstream.copies.claim_events import (
+    AbandonRequest,
+    AttemptCancelled,
+    AttemptRequested,
+    ClaimTimeAdvanced,
+    DeliverAnswer,
+    EndpointAnswered,
+    PrimaryReplied,
+    ReleaseAttempt,
+    ReportEarlierExecution,
+    RequestEnded,
+    ReturnAttempt,
+    SendToPrimary,
+    WithholdAnswer,
+)
+from lotusstream.copies.idempotency import ClaimCoordinator, ClaimOptions
+from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.deployment import Deployment
 from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
 from lotusstream.net.actor import Actor, Supervisor
@@ -32,17 +48,17 @@
 from lotusstream.operator.fleet import FleetSettings
 from lotusstream.protocol import peers as wire
 
-PART = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
-SLACK = 50  # part of the time that a client gave, kept free before its end
-NOWHERE = -1
+CLAIM_TIME_DIVISOR = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
+RESERVED_TIME_DIVISOR = 50  # part of the time that a client gave, kept free before its end
+UNKNOWN_INDEX = -1
 
 
 @dataclass(frozen=True, slots=True)
-class _Tick:
+class _ClaimTimerFired:
     """Time alone may change something."""
 
 
-class CommitmentActor(Actor[GateMessage | wire.CommitmentReply | _Tick]):
+class CommitmentActor(Actor[GateMessage | wire.CommitmentReply | _ClaimTimerFired]):
     """Drives `Claims`; what it says reaches the decision module as events."""
 
     def __init__(
@@ -53,10 +69,10 @@
         assert told.copies is not None and told.idempotency_retention_us is not None
         self._deployment, self._remember = deployment, told.idempotency_retention_us
         self._decider, self._clock, self._tell = decider, clock, tell
-        holders = [Holder(Place(each.name, ""), each.machine, each.zone) for each in told.replicas]
-        patience = told.peer_timeout_us // PART
-        terms = cl.ClaimTerms(told.copies.shards, told.copies.copies, patience, patience // 8)
-        self.claims = cl.Claims(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
+        holders = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in told.replicas]
+        patience = told.peer_timeout_us // CLAIM_TIME_DIVISOR
+        terms = ClaimOptions(told.copies.shard_count, told.copies.replica_count, patience, patience // 8)
+        self.claims = ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
         self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
         self._armed: tuple[int, asyncio.TimerHandle] | None = None
 
@@ -65,12 +81,12 @@
         effect = self._deployment.started.profiles[profile].idempotency
         return mark is not None and effect is not Idempotency.IDEMPOTENT
 
-    async def receive(self, message: GateMessage | wire.CommitmentReply | _Tick) -> None:
+    async def receive(self, message: GateMessage | wire.CommitmentReply | _ClaimTimerFired) -> None:
         match message:
             case AttemptReady():
                 self._departs(message)
             case AttemptControl(actor, AbortAttempt(command, number)) if (command, number) in self._waiting:
-                self._take(cl.Stays(command, number))
+                self._take(AttemptCancelled(command, number))
             case AttemptControl(actor, ChangePriority(command, number, priority)) if (
                 command,
                 number,
@@ -81,14 +97,14 @@
                 actor.post(told)
             case AnswerReceived(command, rows, ends_by, given):
                 now = self._clock.now()
-                by = max(ends_by - given // SLACK, (now + ends_by) // 2)
-                self._take(cl.Answered(command, rows, by))
+                by = max(ends_by - given // RESERVED_TIME_DIVISOR, (now + ends_by) // 2)
+                self._take(EndpointAnswered(command, rows, by))
             case RequestClosed(command, ran, out, given):
-                self._take(cl.Over(command, ran, out, self._clock.now() + given))
+                self._take(RequestEnded(command, ran, out, self._clock.now() + given))
             case wire.CommitmentReply(number, what, holding, why, home):
-                self._take(cl.Heard(number, what, holding, why, home))
-            case _Tick():
-                self._take(cl.Tick())
+                self._take(PrimaryReplied(number, what, holding, why, home))
+            case _ClaimTimerFired():
+                self._take(ClaimTimeAdvanced())
 
     def _departs(self, message: AttemptReady) -> None:
         start, taken, engine = message.start, message.request, message.entry
@@ -101,51 +117,51 @@
             if profile.deduplication_scope is DeduplicationScope.ZONE and engine.zone < len(zones)
             else ""
         )
-        cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else NOWHERE
+        cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else UNKNOWN_INDEX
         self._waiting[start.request_id, start.attempt] = (start, message.actor)
         said = start.profile.encode() + b"\0" + start.statement
         until = now + max(self._remember, profile.deduplication_window)
-        by = now + (taken.deadline - now) // PART
+        by = now + (taken.deadline - now) // CLAIM_TIME_DIVISOR
         again = profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         self._take(
-            cl.Leaves(
+            AttemptRequested(
                 start.request_id, start.attempt, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
                 now, until, by, again,
             )
         )  # fmt: skip
 
-    def _take(self, event: cl.Event) -> None:
+    def _take(self, event: claim_events.Event) -> None:
         counters, post = self.supervisor.counters, self._decider.post
         for action in self.claims.handle(self._clock.now(), event):
             match action:
-                case cl.Ask(holder, number, finish, holding, after):
+                case SendToPrimary(holder, number, finish, holding, after):
                     self._tell(holder, wire.CommitmentRequest(number, finish, holding, after))
-                case cl.LetGo(command, send):
+                case ReleaseAttempt(command, send):
                     start, actor = self._waiting.pop((command, send))
                     counters.add("sends promised")
                     counters.peak("wait for a promise, us", self._clock.now() - start.started_at)
                     actor.post(replace(start, started_at=self._clock.now()))
-                case cl.Back(command, send):
+                case ReturnAttempt(command, send):
                     _, actor = self._waiting.pop((command, send))
                     post(AttemptFinished(command, send, actor.endpoint_id, Outcome.MOOT, 0))
-                case cl.Recall(command, zone, cell, since):
+                case ReportEarlierExecution(command, zone, cell, since):
                     counters.add("commands that may have run elsewhere")
                     zones = self._deployment.zones
-                    at = zones.index(zone) if zone in zones else NOWHERE
+                    at = zones.index(zone) if zone in zones else UNKNOWN_INDEX
                     post(SubsystemEvent(api.ExecutedElsewhere(command, at, cell, since)))
-                case cl.Refuse(command, why):
+                case AbandonRequest(command, why):
                     counters.add("commands that nothing can be promised for")
                     self.supervisor.log.write("promises", f"given up: {why}", reason=why)
                     post(SubsystemEvent(api.RequestWithdrawn(command)))
-                case cl.Give(command, answer):
+                case DeliverAnswer(command, answer):
                     post(AnswerReady(command, answer, ""))
-                case cl.Withhold(command, why):
+                case WithholdAnswer(command, why):
                     counters.add("answers withheld")
                     post(AnswerReady(command, None, why))
         self._arm()
 
     def _arm(self) -> None:
-        at = self.claims.next_at
+        at = self.claims.next_timer_at
         if at is None or (self._armed is not None and self._armed[0] <= at):
             return
         if self._armed is not None:
@@ -155,4 +171,4 @@
 
     def _ring(self) -> None:
         self._armed = None
-        self.post(_Tick())
+        self.post(_ClaimTimerFired())
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -38,7 +38,7 @@
 
 if TYPE_CHECKING:
     from lotusstream.net.commitments import CommitmentActor
-    from lotusstream.net.copies import CopiesActor, ManagerTask
+    from lotusstream.net.copies import ReplicationActor, ShardControllerTask
     from lotusstream.net.health_checks import HealthReportService, PeerReportsActor
 
 QUORUM_REPLY_TIMEOUT_S = 3.0  # seconds, of an operator's question
@@ -144,8 +144,8 @@
         }
         self.raft_actor: RaftActor | None = None
         self._server: PeerServer | None = None
-        self.copies: CopiesActor | None = None
-        self._shard_control_task: ManagerTask | None = None
+        self.copies: ReplicationActor | None = None
+        self._shard_control_task: ShardControllerTask | None = None
         here = told.quorum_member(name) or told.replica(name)
         if here is not None:
             self._server = PeerServer(
@@ -183,11 +183,11 @@
             if self.raft_actor is not None:
                 self._health_report_service = HealthReportService(examine, self._newest_health_check_token)
         if (holds := told.replica(name)) is not None and told.copies is not None:
-            from lotusstream.net.copies import CopiesActor
+            from lotusstream.net.copies import ReplicationActor
 
             assert told.store is not None
             machine, zone = holds.machine, holds.zone
-            self.copies = CopiesActor(
+            self.copies = ReplicationActor(
                 name,
                 machine,
                 zone,
@@ -296,10 +296,10 @@
     # Copies
 
     def _make_manager(self, around: TaskContext) -> FleetTask:
-        from lotusstream.net.copies import ManagerTask
+        from lotusstream.net.copies import ShardControllerTask
 
         assert self._settings.copies is not None
-        self._shard_control_task = ManagerTask(
+        self._shard_control_task = ShardControllerTask(
             around, self._settings.copies, self._send_frame, self._put_note, self._read_lease_table
         )
         return self._shard_control_task
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -31,7 +31,7 @@
 from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
 from lotusstream.quorum.timing import RaftTiming
-from lotusstream.wal.log import CorruptLogError, Disk, DiskError, Log
+from lotusstream.wal.log import CorruptLogError, DiskError, FileSystemCalls, WriteAheadLog
 
 _RECORD_DECODER: msgspec.msgpack.Decoder[RaftRecord] = msgspec.msgpack.Decoder(RaftRecord)
 REOPEN_DELAY_S = 1.0  # seconds until a disk that failed is looked at again
@@ -39,19 +39,19 @@
 ANSWERED_AS = Callable[[wire.QuorumReply], None]
 
 
-def make_disk() -> Disk:
+def make_disk() -> FileSystemCalls:
     """The system's calls to the disk; a laboratory puts its own in the way."""
-    return Disk()
+    return FileSystemCalls()
 
 
-def open_store(folder: str) -> tuple[Log, PersistedState]:
+def open_store(folder: str) -> tuple[WriteAheadLog, PersistedState]:
     """Raises LogTrouble: CorruptLog where what is there can't be trusted."""
     path = os.path.join(folder, LOG_FILE_NAME)
     try:
         os.makedirs(folder, mode=0o700, exist_ok=True)
     except OSError as error:
         raise DiskError(folder, error.strerror or str(error), "name a folder that can be made") from error
-    log = Log(path, make_disk()).open()
+    log = WriteAheadLog(path, make_disk()).open()
     try:
         found = PersistedState([_RECORD_DECODER.decode(payload) for payload in log.payloads])
     except (msgspec.MsgspecError, ValueError) as error:
@@ -89,7 +89,10 @@
     what the descriptor says is not believed any longer."""
 
     def __init__(
-        self, log: Log, told: Callable[[ev.RecordsPersisted | _StoreFailed], None], supervisor: Supervisor
+        self,
+        log: WriteAheadLog,
+        told: Callable[[ev.RecordsPersisted | _StoreFailed], None],
+        supervisor: Supervisor,
     ) -> None:
         super().__init__("quorum store", supervisor)
         self._log, self._notify, self._failed = log, told, False
@@ -145,7 +148,7 @@
     def __init__(
         self,
         terms: RaftActorOptions,
-        store: tuple[Log, PersistedState] | None,
+        store: tuple[WriteAheadLog, PersistedState] | None,
         say: Callable[[RaftEnvelope], None],
         supervisor: Supervisor,
     ) -> None:
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from lotusstream.copies.shard_controller import CopyTerms
-from lotusstream.copies.shards import SHARDS
+from lotusstream.copies.options import ReplicationOptions
+from lotusstream.copies.shards import DEFAULT_SHARD_COUNT
 from lotusstream.healthcheck.reports import HealthCheckOptions
 from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.operator.grammar import Word
@@ -76,7 +76,7 @@
     max_peer_connections: int
     tasks: tuple[str, ...]
     replicas: tuple[ReplicaAddress, ...] = ()
-    copies: CopyTerms | None = None
+    copies: ReplicationOptions | None = None
     idempotency_retention_us: int | None = None  # how long a command with a mark is known to all gateways
     health_checks: HealthCheckOptions | None = None
 
@@ -211,16 +211,25 @@
     return ReplicaAddress(values["a name"], host, port, values["a machine"], values["a zone"])
 
 
-def _read_copies(block: Node, leases: LeaseTiming) -> CopyTerms | None:
+def _read_copies(block: Node, leases: LeaseTiming) -> ReplicationOptions | None:
     if (node := block.one("copies")) is None:
         return None
-    shards = block.value("shards", "a number", SHARDS)
+    shards = block.value("shards", "a number", DEFAULT_SHARD_COUNT)
     repairs = block.value("repairs", "a number", DEFAULT_REPAIR_COUNT)
     most = block.value("holds", "a size", 0)
     rate = block.value("repair-pace", "a size", DEFAULT_REPAIR_BYTES_PER_S)
     copies, promise = node.values["a number"], node.values["a promise"]
     scrub = block.value("scrub", "a time", DEFAULT_ANTI_ENTROPY_INTERVAL_US)
-    return CopyTerms(copies, promise, leases, repairs, shards, most=most, rate=rate, scrub=scrub)
+    return ReplicationOptions(
+        copies,
+        promise,
+        leases,
+        repairs,
+        shards,
+        max_bytes=most,
+        catch_up_bytes_per_s=rate,
+        anti_entropy_interval=scrub,
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -274,13 +283,13 @@
             hint = "say on how many disks: copies 3 promise 2"
             yield self._problem("holder", "holders without 'copies'", hint)
 
-    def _copies_problems(self, copies: CopyTerms) -> Iterator[Problem]:
+    def _copies_problems(self, copies: ReplicationOptions) -> Iterator[Problem]:
         machines = {replica.machine for replica in self.settings.replicas}
-        if copies.promise > copies.copies:
-            what = f"a promise on {copies.promise} of {copies.copies} disks"
+        if copies.commit_count > copies.replica_count:
+            what = f"a promise on {copies.commit_count} of {copies.replica_count} disks"
             yield self._problem("copies", what, "no more than there are copies")
-        if len(machines) < copies.copies:
-            what = f"{copies.copies} copies on holders of {len(machines)} machines"
+        if len(machines) < copies.replica_count:
+            what = f"{copies.replica_count} copies on holders of {len(machines)} machines"
             yield self._problem("copies", what, "name holders on as many machines: no two copies share one")
 
     def _health_check_problems(self) -> Iterator[Problem]:
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -10,8 +10,14 @@
 
 import msgspec
 
-from lotusstream.copies.messages import AnyWord, Assigned, Compare, Compared, Holding
-from lotusstream.copies.shards import Holder, Place
+from lotusstream.copies.messages import (
+    DigestReply,
+    DigestRequest,
+    IdempotencyRecord,
+    ReplicaMessage,
+    ShardAssignment,
+)
+from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.healthcheck.reports import HealthReports
 from lotusstream.leases.table import LeaseOperation, LeaseResult
 from lotusstream.quorum.messages import RaftEnvelope
@@ -83,9 +89,9 @@
 class ReplicationFrame(FrameBase, frozen=True, tag="word"):
     """Between two holders of copies."""
 
-    source: Place
-    target: Place
-    message: AnyWord
+    source: ReplicaId
+    target: ReplicaId
+    message: ReplicaMessage
 
 
 class ReplicaHeartbeat(FrameBase, frozen=True, tag="beat"):
@@ -93,19 +99,19 @@
     `left`: it promises nothing any more. `yields`: by shard, epoch and whose disk has more."""
 
     number: int
-    holder: Holder
+    holder: ReplicaHost
     session: str
-    joined: dict[int, tuple[int, tuple[Place, ...]]]
+    joined: dict[int, tuple[int, tuple[ReplicaId, ...]]]
     left: bool = False
-    yields: dict[int, tuple[int, Place]] = {}
+    yields: dict[int, tuple[int, ReplicaId]] = {}
 
 
 class ReplicaHeartbeatReply(FrameBase, frozen=True, tag="beaten"):
     """The answer: what this holder has to do with, all homes, and the epochs of all shards."""
 
     number: int
-    assigned: tuple[Assigned, ...]
-    homes: dict[int, Place]
+    assigned: tuple[ShardAssignment, ...]
+    homes: dict[int, ReplicaId]
     epochs: dict[int, int] = {}
 
 
@@ -115,7 +121,7 @@
 
     number: int
     finish: bool
-    holding: Holding
+    holding: IdempotencyRecord
     after: str = ""
 
 
@@ -124,7 +130,7 @@
 
     number: int
     what: str
-    holding: Holding | None
+    holding: IdempotencyRecord | None
     why: str
     home: str
 
@@ -163,8 +169,8 @@
 INTRODUCED_IN_VERSION: dict[type[Any], int] = {
     HealthReportSubscription: 2,
     HealthReportFrame: 2,
-    Compare: 2,
-    Compared: 2,
+    DigestRequest: 2,
+    DigestReply: 2,
 }  # others are of the first
 
 
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -67,8 +67,8 @@
         (quorum.RaftMessage, QUORUM_BODIES),
         (quorum.RaftRecord, QUORUM_RECORDS),
         (leases.LeaseOperation, LEASE_WISHES),
-        (copies.AnyWord, COPY_WORDS),
-        (copies.Record | CopiesIdentity, COPY_RECORDS),
+        (copies.ReplicaMessage, COPY_WORDS),
+        (copies.LogRecord | CopiesIdentity, COPY_RECORDS),
         (control.Asking, CONTROL_REQUESTS),
     ],
 )
