--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -14,16 +14,12 @@
 
 from benchmarks.fleet import LOOKUP, PROFILES, REPORT, Fleet, Outcome, S, Script, Wish
 from lotusstream import interface as api
+from lotusstream.cells.admission import CellAdmission
 from lotusstream.cells.assignment import expected_overlap_ratio, full_overlap_probability, shuffle_shard
-from lotusstream.cells.controller import (
-    CellAdmission,
-    CellController,
-    MigrateTenant,
-    MigrationPersisted,
-    recover_migrations,
-)
+from lotusstream.cells.controller import CellController
 from lotusstream.cells.heavy_hitters import HeavyHitters
-from lotusstream.cells.migration import Migration, MigrationStep, migration_timing
+from lotusstream.cells.messages import MigrateTenant, MigrationPersisted
+from lotusstream.cells.migration import Migration, MigrationStep, migration_timing, recover_migrations
 from lotusstream.cells.plan import Cell, CellPlan, EndpointSelector, TenantSource, TenantSourceKind
 from lotusstream.cells.trie import NameTrie
 from lotusstream.policy import Gateway
@@ -98,7 +94,7 @@
 
 
 def one(*numbers: int) -> EndpointSelector:
-    return EndpointSelector(ids=frozenset(bytes([number + 1] * 6) for number in numbers))
+    return EndpointSelector(endpoint_ids=frozenset(bytes([number + 1] * 6) for number in numbers))
 
 
 def three_cells() -> CellPlan:
@@ -130,8 +126,8 @@
     engines = ((0, 8.0),) * 3 + ((1, 8.0),) * 3
     fleet = Tenants(Script(END, rate, engines=engines), seed, module, poison)
     out = fleet.run()
-    home = make().home(POISONED) if make is not None else None
-    apart = [name for name in TENANTS if make is None or make().home(name) != home]
+    home = make().cell_name_of(POISONED) if make is not None else None
+    apart = [name for name in TENANTS if make is None or make().cell_name_of(name) != home]
     met, asked = sum(fleet.met[name] for name in apart), sum(fleet.asked[name] for name in apart)
     return {
         "variant": variant, "poison": poison, "seed": seed, "others": fleet.others(),
@@ -195,17 +191,19 @@
 def play_moves(seed: int) -> dict[str, Any]:
     fleet = Moves(seed)
     out = fleet.run()
-    ended = [move for move in fleet.written if move.step in (MigrationStep.DONE, MigrationStep.UNDONE)]
+    ended = [move for move in fleet.written if move.step in (MigrationStep.DONE, MigrationStep.ROLLED_BACK)]
     wrong = [
-        name for at, name in enumerate(TENANTS) if fleet.keeper.plan.home(name) != f"cell-{(at + 1) % 3}"
+        name
+        for at, name in enumerate(TENANTS)
+        if fleet.keeper.plan.cell_name_of(name) != f"cell-{(at + 1) % 3}"
     ]
     bad = sum(
         recover_migrations(fleet.written[:point], 0).get(move.tenant, move).step
-        not in (MigrationStep.DONE, MigrationStep.UNDONE)
+        not in (MigrationStep.DONE, MigrationStep.ROLLED_BACK)
         for point, move in enumerate(fleet.written, 1)
     )
     return {
-        "moves": len(ended), "undone": sum(move.step is MigrationStep.UNDONE for move in ended),
+        "moves": len(ended), "undone": sum(move.step is MigrationStep.ROLLED_BACK for move in ended),
         "not_there": len(wrong),
         "commands": len(fleet.finals), "twice": sum(count > 1 for count in fleet.finals.values()),
         "lost": out.lost, "broken": out.broken, "behind": fleet.behind, "longest": fleet.longest / 1000,
--- a/lotusstream/cells/heavy_hitters.py
+++ b/lotusstream/cells/heavy_hitters.py
@@ -1,8 +1,10 @@
-"""Who harms: blame by tenant in bounded memory, fading, and not for those that merely were there.
+"""The largest counts by tenant, in bounded memory, with exponential decay.
 
-Space-Saving (Metwally, Agrawal and El Abbadi, 2005): the `most` heaviest are kept; whoever comes new takes
-the place of the lightest and its count as an error, so that a count is never too small and at most `error`
-too large. What is certain is count less error: only that is judged.
+Space-Saving (Metwally, Agrawal and El Abbadi, 2005): a new tenant replaces the one with the smallest count
+and takes over its count as its error. So an estimate is never too small, and at most the error too large.
+
+Forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): new amounts are scaled up instead of old counts
+down, so that the passing of time changes no order and the heap of counts stays a heap.
 """
 
 from __future__ import annotations
@@ -12,84 +14,90 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-HIGHEST_SCALE = 2.0**500  # then all is brought back to a new start of time
+MAX_SCALE = 2.0**500  # beyond it all counts are scaled back, long before a float overflows
+MAX_EXPONENT = 1000.0  # of the scale, below the largest that a float holds
 
 
 @dataclass(slots=True)
 class _Entry:
-    count: float  # scaled: see Blame
-    error: float
+    count: float  # scaled by the time of each addition
+    error: float  # part of the count that may belong to replaced tenants
 
 
 @dataclass(frozen=True, slots=True)
 class CountEstimate:
-    """`certain`: no less than that; `most`: no more."""
+    """Bounds of a tenant's decayed count."""
 
     tenant: str
-    certain: float
-    most: float
+    lower_bound: float
+    upper_bound: float
 
 
 class HeavyHitters:
-    """Halves in each `half_life`, microseconds. Memory is bounded by `most` tenants.
-
-    Fading is by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): what is new is counted for
-    more instead of the old for less, so that time alone changes no order and the heap of counts stays a
-    heap.
-    """
-
-    def __init__(self, most: int, half_life: int) -> None:
-        self._most, self._half_life = most, half_life
+    """Decayed counts of at most `capacity` tenants."""
+
+    def __init__(self, capacity: int, half_life: int) -> None:
+        """
+        :param capacity: tenants that are counted at once
+        :param half_life: in which a count decays by half, microseconds
+        """
+        self._capacity = capacity
+        self._half_life = half_life
         self._entries: dict[str, _Entry] = {}
-        self._line: list[tuple[float, str]] = []  # counts as they were: never more than they are
-        self._start = 0
+        self._heap: list[tuple[float, str]] = []  # counts as they were at some time: never above the present
+        self._scale_start = 0  # when the scale was 1, microseconds
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def _scale(self, now: int) -> float:
-        scale = math.exp2(min(1000.0, (now - self._start) / self._half_life))
-        if scale > HIGHEST_SCALE:
-            for entry in self._entries.values():
-                entry.count, entry.error = entry.count / scale, entry.error / scale
-            self._line = [(entry.count, tenant) for tenant, entry in self._entries.items()]
-            heapq.heapify(self._line)
-            self._start, scale = now, 1.0
-        return scale
-
     def add(self, now: int, tenant: str, amount: float) -> None:
+        """Adds to the tenant's count."""
         amount *= self._scale(now)
         entry = self._entries.get(tenant)
         if entry is not None:
             entry.count += amount
-        elif len(self._entries) < self._most:
+        elif len(self._entries) < self._capacity:
             self._entries[tenant] = _Entry(amount, 0.0)
-            heapq.heappush(self._line, (amount, tenant))
+            heapq.heappush(self._heap, (amount, tenant))
         else:
-            gone = self._entries.pop(self._lightest())
-            self._entries[tenant] = _Entry(gone.count + amount, gone.count)
-            heapq.heapreplace(self._line, (gone.count + amount, tenant))
-
-    def _lightest(self) -> str:
-        """At the head of the heap once what stands there is true."""
-        while (count := self._entries[self._line[0][1]].count) > self._line[0][0]:
-            heapq.heapreplace(self._line, (count, self._line[0][1]))
-        return self._line[0][1]
-
-    def of(self, now: int, tenant: str) -> CountEstimate:
-        scale, entry = self._scale(now), self._entries.get(tenant)
+            replaced = self._entries.pop(self._find_smallest())
+            count = replaced.count + amount
+            self._entries[tenant] = _Entry(count, replaced.count)
+            heapq.heapreplace(self._heap, (count, tenant))
+
+    def estimate(self, now: int, tenant: str) -> CountEstimate:
+        """Returns the bounds of the tenant's count; 0 for one that is not counted."""
+        scale = self._scale(now)
+        entry = self._entries.get(tenant)
         if entry is None:
             return CountEstimate(tenant, 0.0, 0.0)
         return CountEstimate(tenant, (entry.count - entry.error) / scale, entry.count / scale)
 
-    def past(self, now: int, bound: float) -> Iterator[CountEstimate]:
-        """Those that are certainly over the bound, the heaviest first."""
-        found = [self.of(now, tenant) for tenant in self._entries]
-        yield from sorted(
-            (each for each in found if each.certain > bound), key=lambda b: (-b.certain, b.tenant)
-        )
-
-    def forgive(self, tenant: str) -> None:
-        """Nothing is certain against it any more; its place stays."""
-        if (entry := self._entries.get(tenant)) is not None:
-            entry.error = entry.count
+    def above(self, now: int, threshold: float) -> Iterator[CountEstimate]:
+        """Yields the estimates whose lower bound is above the threshold, the largest first."""
+        estimates = [self.estimate(now, tenant) for tenant in self._entries]
+        found = [each for each in estimates if each.lower_bound > threshold]
+        yield from sorted(found, key=lambda each: (-each.lower_bound, each.tenant))
+
+    def _scale(self, now: int) -> float:
+        """Returns the factor of amounts that are added now."""
+        scale = math.exp2(min(MAX_EXPONENT, (now - self._scale_start) / self._half_life))
+        if scale <= MAX_SCALE:
+            return scale
+        for entry in self._entries.values():
+            entry.count /= scale
+            entry.error /= scale
+        self._heap = [(entry.count, tenant) for tenant, entry in self._entries.items()]
+        heapq.heapify(self._heap)
+        self._scale_start = now
+        return 1.0
+
+    def _find_smallest(self) -> str:
+        """Returns the tenant with the smallest count, at the head of the heap. Counts that have grown since
+        they were pushed are brought up to date on the way."""
+        while True:
+            pushed_count, tenant = self._heap[0]
+            count = self._entries[tenant].count
+            if count <= pushed_count:
+                return tenant
+            heapq.heapreplace(self._heap, (count, tenant))
--- /dev/null
+++ b/lotusstream/cells/membership.py
@@ -0,0 +1,104 @@
+"""Which listed endpoints belong to which cell."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+
+from lotusstream.cells.assignment import group_by_kind, shuffle_shard
+from lotusstream.cells.plan import Cell, CellPlan
+from lotusstream.interface import (
+    DeduplicationScope,
+    EndpointEntry,
+    EndpointId,
+    EndpointStatus,
+    Idempotency,
+    Profile,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class OverlappingEndpoint:
+    """An endpoint that two cells select; it belongs to the first."""
+
+    endpoint: EndpointEntry
+    cell: str  # name of the cell that it belongs to
+    other_cell: str  # name of the other cell that selects it
+
+
+@dataclass(frozen=True, slots=True)
+class CellMembership:
+    """The endpoints of each cell, as the endpoint list stands."""
+
+    endpoints: Mapping[str, tuple[EndpointEntry, ...]]  # by name of the cell, in the order of ids
+    unassigned: tuple[EndpointEntry, ...]  # selected by no cell
+    overlapping: tuple[OverlappingEndpoint, ...]
+
+
+def assign_endpoints(plan: CellPlan, listed: Iterable[EndpointEntry]) -> CellMembership:
+    """Returns the endpoints of each cell. Removed endpoints belong to none; one that several cells select
+    belongs to the first of the plan."""
+    endpoints: dict[str, list[EndpointEntry]] = {cell.name: [] for cell in plan.cells}
+    unassigned: list[EndpointEntry] = []
+    overlapping: list[OverlappingEndpoint] = []
+    for endpoint in sorted(listed, key=lambda each: each.id):
+        if endpoint.status is EndpointStatus.REMOVED:
+            continue
+        cell_names = [cell.name for cell in plan.cells if cell.matches(endpoint)]
+        if not cell_names:
+            unassigned.append(endpoint)
+            continue
+        first = cell_names[0]
+        endpoints[first].append(endpoint)
+        overlapping += [OverlappingEndpoint(endpoint, first, other) for other in cell_names[1:]]
+    return CellMembership(
+        {name: tuple(members) for name, members in endpoints.items()}, tuple(unassigned), tuple(overlapping)
+    )
+
+
+def endpoints_for(
+    plan: CellPlan, cell: Cell, tenant: str | None, members: Iterable[EndpointEntry]
+) -> frozenset[EndpointId]:
+    """Returns the endpoints that a tenant may use in the cell: all members, or its shard of them.
+
+    :param plan: holds the seed of the shards
+    :param cell: one cell of the plan
+    :param tenant: None: all members
+    :param members: the endpoints of the cell
+    """
+    pairs = [(endpoint.id, endpoint.kind) for endpoint in members]
+    if not cell.shard_size or tenant is None:
+        return frozenset(endpoint_id for endpoint_id, _ in pairs)
+    return shuffle_shard(tenant, group_by_kind(pairs), cell.shard_size, plan.seed)
+
+
+def profiles_losing_deduplication(
+    plan: CellPlan,
+    source: Cell,
+    target: Cell,
+    listed: Iterable[EndpointEntry],
+    profiles: Mapping[str, Profile],
+) -> list[str]:
+    """Returns the names of profiles whose retries in the target would be executed again, because its
+    endpoints do not know the idempotency keys of the source's."""
+    membership = assign_endpoints(plan, listed)
+    source_members = membership.endpoints[source.name]
+    target_members = membership.endpoints[target.name]
+    names = []
+    for name, profile in profiles.items():
+        if profile.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            continue
+        if profile.deduplication_scope is DeduplicationScope.ALL:
+            continue
+        source_scopes = _deduplication_scopes(profile, source_members)
+        target_scopes = _deduplication_scopes(profile, target_members)
+        if source_scopes != target_scopes:
+            names.append(name)
+    return names
+
+
+def _deduplication_scopes(profile: Profile, endpoints: Iterable[EndpointEntry]) -> set[int]:
+    """Returns the zones, or cells of the endpoint list, in which these endpoints share idempotency keys."""
+    if profile.deduplication_scope is DeduplicationScope.ZONE:
+        return {endpoint.zone for endpoint in endpoints}
+    return {endpoint.cell for endpoint in endpoints}
--- a/lotusstream/cells/migration.py
+++ b/lotusstream/cells/migration.py
@@ -1,15 +1,19 @@
-"""One tenant's way from a cell to another: a state machine that ends or is undone from every step.
+"""The migration of one tenant from a cell to another, as a state machine.
 
-prepared -> fenced -> draining -> resting -> switched -> done \\________\\_________\\___________\\-> undone
-(from switched on there is no way back, only another move)
+    prepared -> fenced -> draining -> cooling down -> switched -> done
+        \\__________\\_________\\______________\\-> rolled back
 
-prepared: written down, nothing changed yet. fenced: new commands of the tenant are held, for a bounded
-time; then they are answered at once with when to come back. draining: until every send of its commands has
-its outcome. resting: as long as the engines remember marks, so that a repeat is dropped where it ran first
-and never taken for new elsewhere. switched: the plan has the tenant in the new cell. done: the held are
-let go there.
+From `switched` on there is no way back but another migration.
 
-Pure: steps come out as records to write down first and to act on when they are written.
+- prepared: the migration is on disk, nothing has changed yet.
+- fenced: new requests of the tenant are held for a bounded time, then rejected with a Retry-After.
+- draining: waits until every attempt of the tenant's requests has its outcome.
+- cooling down: waits as long as endpoints remember idempotency keys. A retry is so deduplicated by the
+  endpoints that executed the first attempt, and never executed again by those of the new cell.
+- switched: the plan has the tenant in the new cell.
+- done: the held requests have been placed there.
+
+The functions are pure. Each returns the next record; the caller writes it to disk and acts on it afterwards.
 """
 
 from __future__ import annotations
@@ -18,135 +22,180 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
+from lotusstream.cells.errors import MigrationError
 from lotusstream.interface import Idempotency, Profile
 
 
 class MigrationStep(Enum):
+    """The steps of a migration. Values are the stored form."""
+
     PREPARED = "prepared"
     FENCED = "fenced"
     DRAINING = "draining"
-    RESTING = "resting"
+    COOLING_DOWN = "resting"
     SWITCHED = "switched"
     DONE = "done"
-    UNDONE = "undone"
+    ROLLED_BACK = "undone"
 
 
-ORDER = (
-    MigrationStep.PREPARED,
+FINAL_STEPS = (MigrationStep.DONE, MigrationStep.ROLLED_BACK)
+IRREVERSIBLE_STEPS = (MigrationStep.SWITCHED, *FINAL_STEPS)
+HOLDING_STEPS = (
     MigrationStep.FENCED,
     MigrationStep.DRAINING,
-    MigrationStep.RESTING,
+    MigrationStep.COOLING_DOWN,
     MigrationStep.SWITCHED,
-    MigrationStep.DONE,
 )
-FINAL_STEPS = (MigrationStep.DONE, MigrationStep.UNDONE)
-IRREVERSIBLE_STEPS = (MigrationStep.SWITCHED, *FINAL_STEPS)
 
 
 @dataclass(frozen=True, slots=True)
 class Migration:
-    """`since`: of the step, microseconds. `ran_until`: the last moment at which a send that may have run
-    was out; the rest counts from there. `why`: what undid it, or who asked for it."""
+    """One record of the migration log. Field names are the keys of the stored JSON."""
 
     tenant: str
-    source: str
-    target: str
+    source: str  # name of the cell that it leaves
+    target: str  # name of the cell that it goes to
     step: MigrationStep
-    since: int
-    ran_until: int = 0
-    why: str = ""
+    since: int  # when the step was reached, microseconds
+    ran_until: int = 0  # the last moment at which an attempt may have been running, microseconds
+    why: str = ""  # what rolled it back, or else who asked for it
+
+    @property
+    def is_open(self) -> bool:
+        """Whether it is neither done nor rolled back."""
+        return self.step not in FINAL_STEPS
+
+    @property
+    def is_reversible(self) -> bool:
+        """Whether it can still be rolled back."""
+        return self.step not in IRREVERSIBLE_STEPS
+
+    @property
+    def holds_new_requests(self) -> bool:
+        """Whether new requests of the tenant are held instead of being placed in a cell."""
+        return self.step in HOLDING_STEPS
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationTiming:
-    """`hold`: how long new commands are held at most. `drain`: how long for outcomes. `rest`: from the
-    last send that may have run until the switch. Microseconds."""
+    """Timeouts of migrations, in microseconds."""
+
+    hold_timeout: int  # how long a new request is held at most
+    drain_timeout: int  # how long outcomes of attempts are waited for
+    cooldown: int  # from the last attempt that may have been executed until the switch
+
 
-    hold: int
-    drain: int
-    rest: int
+def migration_timing(profiles: Iterable[Profile], hold_timeout: int, drain_timeout: int) -> MigrationTiming:
+    """Returns the timing that keeps idempotency keys safe.
 
+    A client repeats a key only while endpoints deduplicate it. A request that is placed in the new cell was
+    held for at most `hold_timeout`. So with a cooldown of the longest deduplication window plus that timeout,
+    it was received when no repeat of anything executed in the old cell could be sent any more.
 
-def migration_timing(profiles: Iterable[Profile], hold: int, drain: int) -> MigrationTiming:
-    """A client repeats a mark while engines drop its repeats. What is let go in the new cell was held no
-    longer than `hold`; so it came when no repeat of anything that ran in the old one could come any more."""
-    remembered = [
+    :param profiles: all profiles of the deployment
+    :param hold_timeout: microseconds
+    :param drain_timeout: microseconds
+    """
+    windows = [
         profile.deduplication_window
         for profile in profiles
         if profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     ]
-    return MigrationTiming(hold, drain, max(remembered, default=0) + hold)
-
-
-class MigrationError(Exception):
-    """Why a move is not begun."""
+    return MigrationTiming(hold_timeout, drain_timeout, max(windows, default=0) + hold_timeout)
 
 
 def begin(
-    now: int, tenant: str, source: str, target: str, open_moves: Mapping[str, Migration], why: str
+    now: int, tenant: str, source: str, target: str, migrations: Mapping[str, Migration], why: str
 ) -> Migration:
+    """Returns the first record of a new migration.
+
+    :param migrations: the latest migration of each tenant
+    :raises MigrationError: the tenant is in the target already, or is being migrated
+    """
     if source == target:
         raise MigrationError(f"'{tenant}' is in '{target}' already")
-    if (other := open_moves.get(tenant)) is not None and other.step not in FINAL_STEPS:
+    other = migrations.get(tenant)
+    if other is not None and other.is_open:
         raise MigrationError(f"'{tenant}' is being moved to '{other.target}': abort that first")
     return Migration(tenant, source, target, MigrationStep.PREPARED, now, why=why)
 
 
-def abort(now: int, move: Migration, why: str) -> Migration:
-    if move.step in IRREVERSIBLE_STEPS:
-        raise MigrationError(f"the move of '{move.tenant}' is {move.step.value}: move it back instead")
-    return replace(move, step=MigrationStep.UNDONE, since=now, why=why)
+def abort(now: int, migration: Migration, why: str) -> Migration:
+    """Returns the record that rolls the migration back.
+
+    :raises MigrationError: it is switched or has ended
+    """
+    if not migration.is_reversible:
+        raise MigrationError(
+            f"the move of '{migration.tenant}' is {migration.step.value}: move it back instead"
+        )
+    return replace(migration, step=MigrationStep.ROLLED_BACK, since=now, why=why)
 
 
 def advance(
-    now: int, move: Migration, migration_timing: MigrationTiming, out: int, target_serves: str | None
+    now: int, migration: Migration, timing: MigrationTiming, attempted_requests: int, target_fault: str | None
 ) -> Migration | None:
-    """The next step, where it is time for it. `out`: the tenant's sends without an outcome.
-    `target_serves`: what the target can't do now, or None. A target that fails before the switch undoes
-    the move."""
-    if target_serves is not None and move.step not in IRREVERSIBLE_STEPS:
-        return abort(now, move, f"'{move.target}' can't take it: {target_serves}")
-    match move.step:
+    """Returns the next record, or None while there is nothing to do.
+
+    :param attempted_requests: open requests of the tenant that were sent to an endpoint
+    :param target_fault: what the target can't serve now; rolls the migration back before the switch
+    """
+    if target_fault is not None and migration.is_reversible:
+        return abort(now, migration, f"'{migration.target}' can't take it: {target_fault}")
+    match migration.step:
         case MigrationStep.PREPARED:
-            return replace(move, step=MigrationStep.FENCED, since=now)
+            return replace(migration, step=MigrationStep.FENCED, since=now)
         case MigrationStep.FENCED:
-            return replace(move, step=MigrationStep.DRAINING, since=now, ran_until=now)
+            return replace(migration, step=MigrationStep.DRAINING, since=now, ran_until=now)
         case MigrationStep.DRAINING:
-            if out:
-                if now - move.since > migration_timing.drain:
-                    return abort(now, move, f"{out} sends had no outcome in time")
-                return replace(move, ran_until=now) if now > move.ran_until else None
-            return replace(move, step=MigrationStep.RESTING, since=now)
-        case MigrationStep.RESTING:
-            if out:  # what was thought to be over is not: rest anew from now
-                return replace(move, step=MigrationStep.DRAINING, since=now, ran_until=now)
-            if now >= move.ran_until + migration_timing.rest:
-                return replace(move, step=MigrationStep.SWITCHED, since=now)
+            return _advance_draining(now, migration, timing, attempted_requests)
+        case MigrationStep.COOLING_DOWN:
+            return _advance_cooling_down(now, migration, timing, attempted_requests)
         case MigrationStep.SWITCHED:
-            return replace(move, step=MigrationStep.DONE, since=now)
+            return replace(migration, step=MigrationStep.DONE, since=now)
+    return None
+
+
+def _advance_draining(
+    now: int, migration: Migration, timing: MigrationTiming, attempted_requests: int
+) -> Migration | None:
+    if not attempted_requests:
+        return replace(migration, step=MigrationStep.COOLING_DOWN, since=now)
+    if now - migration.since > timing.drain_timeout:
+        return abort(now, migration, f"{attempted_requests} sends had no outcome in time")
+    if now > migration.ran_until:
+        return replace(migration, ran_until=now)
+    return None
+
+
+def _advance_cooling_down(
+    now: int, migration: Migration, timing: MigrationTiming, attempted_requests: int
+) -> Migration | None:
+    if attempted_requests:  # an attempt has started since: drain again
+        return replace(migration, step=MigrationStep.DRAINING, since=now, ran_until=now)
+    if now >= migration.ran_until + timing.cooldown:
+        return replace(migration, step=MigrationStep.SWITCHED, since=now)
     return None
 
 
-def recovered(now: int, move: Migration) -> Migration:
-    """After a crash. What was in flight is unknown: before the switch the move is undone, from there on it
-    ends."""
-    if move.step in FINAL_STEPS:
-        return move
-    if move.step is MigrationStep.SWITCHED:
-        return replace(move, step=MigrationStep.DONE, since=now)
-    return replace(move, step=MigrationStep.UNDONE, since=now, why="the gateway ended in mid-move")
+def recover(now: int, migration: Migration) -> Migration:
+    """Returns the record that ends a migration after a crash. Attempts that were in flight are unknown, so it
+    is rolled back before the switch, and completed after it."""
+    if not migration.is_open:
+        return migration
+    if migration.step is MigrationStep.SWITCHED:
+        return replace(migration, step=MigrationStep.DONE, since=now)
+    return replace(migration, step=MigrationStep.ROLLED_BACK, since=now, why="the gateway ended in mid-move")
 
 
-def holds_new_requests(move: Migration | None) -> bool:
-    """New commands of the tenant are held, not taken to a cell."""
-    return move is not None and move.step in (
-        MigrationStep.FENCED,
-        MigrationStep.DRAINING,
-        MigrationStep.RESTING,
-        MigrationStep.SWITCHED,
-    )
+def recover_migrations(records: Iterable[Migration], now: int) -> Mapping[str, Migration]:
+    """Returns the latest migration of each tenant in the log, ended as `recover` says."""
+    latest: dict[str, Migration] = {}
+    for migration in records:
+        latest[migration.tenant] = migration
+    return {tenant: recover(now, migration) for tenant, migration in latest.items()}
 
 
-def hold_has_expired(now: int, taken: int, migration_timing: MigrationTiming) -> bool:
-    """A held command is answered at once, with when to come back."""
-    return now - taken >= migration_timing.hold
+def hold_has_expired(now: int, received_at: int, timing: MigrationTiming) -> bool:
+    """Returns whether a held request is to be rejected, with a Retry-After."""
+    return now - received_at >= timing.hold_timeout
--- /dev/null
+++ b/lotusstream/cells/plan_check.py
@@ -0,0 +1,65 @@
+"""Checks a plan of cells against the endpoints that are listed and the profiles of the deployment."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass
+
+from lotusstream.cells.membership import assign_endpoints
+from lotusstream.cells.plan import Cell, CellPlan, EmptyCellPolicy
+from lotusstream.interface import EndpointEntry, Profile
+
+
+@dataclass(frozen=True, slots=True)
+class CellPlanProblem:
+    """Something that the plan can't do with the endpoints that there are."""
+
+    cell: str  # name of the cell, or '' if the problem is of no cell
+    message: str
+    hint: str
+    fatal: bool = True  # the plan is rejected for it
+    profile: str | None = None  # name of the profile that can't be served
+
+
+def find_plan_problems(
+    plan: CellPlan, listed: Iterable[EndpointEntry], profiles: Mapping[str, Profile]
+) -> Iterator[CellPlanProblem]:
+    """Yields what is wrong with the plan.
+
+    :param plan: the plan
+    :param listed: the endpoint list
+    :param profiles: by name
+    """
+    membership = assign_endpoints(plan, listed)
+    for endpoint in membership.unassigned:
+        name = endpoint.id.decode("latin-1")
+        yield CellPlanProblem(
+            "", f"engine {name} is in no cell", "let a last cell take the rest: engines all"
+        )
+    for overlap in membership.overlapping:
+        name = overlap.endpoint.id.decode("latin-1")
+        message = f"engine {name} belongs to '{overlap.cell}', which comes first"
+        yield CellPlanProblem(overlap.other_cell, message, "this may be meant", fatal=False)
+    for cell in plan.cells:
+        members = membership.endpoints[cell.name]
+        if not members:
+            yield CellPlanProblem(cell.name, "no engine belongs to it", "widen its engines")
+            continue
+        for name, profile in profiles.items():
+            yield from _find_unserved(plan, cell, members, name, profile)
+
+
+def _find_unserved(
+    plan: CellPlan, cell: Cell, members: tuple[EndpointEntry, ...], profile_name: str, profile: Profile
+) -> Iterator[CellPlanProblem]:
+    """Yields a problem if no member of the cell may serve the profile."""
+    if any(profile.admits(endpoint) for endpoint in members):
+        return
+    borrows = cell.empty_policy is EmptyCellPolicy.BORROW
+    lender = plan.cell(cell.lender) if borrows and cell.lender else None
+    if lender is not None:
+        message = f"no engine here may serve {profile_name}: it is borrowed from '{lender.name}'"
+        yield CellPlanProblem(cell.name, message, "add one of its kind", fatal=False, profile=profile_name)
+        return
+    hint = "add an engine that it is bound to, or 'empty borrow CELL'"
+    yield CellPlanProblem(cell.name, f"no engine here may serve {profile_name}", hint, profile=profile_name)
--- a/lotusstream/cells/poison_requests.py
+++ b/lotusstream/cells/poison_requests.py
@@ -1,11 +1,10 @@
-"""Which tenants harm the engines that they share, told apart from those that merely were there.
+"""Finds the tenants whose requests harm the endpoints that they share with others.
 
-What is blamed: an engine that was lost with a send of the tenant out (split among the tenants that had
-sends out there), an error, and work many times its hint. A tenant is poisonous once its certain blame is
-past the bound **and** its own sends come to harm several times as often as those of all others: whoever
-only shares an engine with a killer is harmed as often as everyone beside it, and no more often than the
-rest.
-"""
+Faults that count against a tenant: an endpoint that was lost with attempts of the tenant in flight (shared
+among all tenants with attempts in flight there), an error, and work many times the hint. A tenant is
+poisonous once its fault score is above the threshold **and** its attempts meet faults several times as often
+as those of all other tenants. So a tenant that only shares an endpoint with a poisonous one is not found:
+its attempts meet faults as often as those of everyone beside it."""
 
 from __future__ import annotations
 
@@ -15,107 +14,135 @@
 from lotusstream import interface as api
 from lotusstream.cells.heavy_hitters import HeavyHitters
 
-LOST, ERROR, RUNAWAY = 3.0, 1.0, 1.0  # weights
-TIMES = 8.0  # the hint, from which on work has run away
-LIFT = 3.0  # how many times as often as the others
-LEAST_SENDS = 4.0  # of a tenant, before it is judged
+ENDPOINT_LOSS_SCORE = 3.0
+ERROR_SCORE = 1.0
+RUNAWAY_WORK_SCORE = 1.0
+RUNAWAY_WORK_RATIO = 8.0  # of an attempt's work to its hint
+MIN_FAULT_RATIO_LIFT = 3.0  # of a tenant's fault ratio to that of the others
+MIN_ATTEMPTS = 4.0  # before a fault ratio is trusted
+
+_ATTEMPTS = "sends"  # key of the total of attempts
+_FAULTS = "harmed"  # key of the total of attempts with faults
 
 
 @dataclass(frozen=True, slots=True)
 class PoisonSettings:
-    """`bound`: of blame. `half_life`: it fades by half in that time. `stay`: least time in quarantine,
-    microseconds. `cell`: the quarantine, or None: new commands are refused for that time. `most`: tenants
-    that are kept count of."""
+    """When a tenant is quarantined, and for how long."""
 
-    bound: float
-    half_life: int
-    stay: int
-    cell: str | None
-    most: int = 1000
+    fault_threshold: float  # of the decayed fault score
+    half_life: int  # in which a fault score decays by half, microseconds
+    quarantine_time: int  # at least, microseconds
+    quarantine_cell: str | None  # None: requests of the tenant are rejected instead
+    max_tenants: int = 1000  # whose faults are counted at once
 
 
 @dataclass(frozen=True, slots=True)
 class PoisonVerdict:
-    """Why a tenant is judged so: its blame, and how often its sends came to harm against all others'."""
+    """Why a tenant is poisonous. Its text is the reason in the log of migrations."""
 
     tenant: str
-    blame: float
-    harm: float
-    others: float
+    fault_score: float
+    fault_ratio: float  # part of the tenant's attempts with faults, 0 to 1
+    others_fault_ratio: float  # the same of all other tenants
 
     def __str__(self) -> str:
-        harmed = f"{self.harm:.0%} of its sends harmed, {self.others:.0%} of others'"
-        return f"poison: blame {self.blame:.1f}, {harmed}"
+        harmed = f"{self.fault_ratio:.0%} of its sends harmed, {self.others_fault_ratio:.0%} of others'"
+        return f"poison: blame {self.fault_score:.1f}, {harmed}"
 
 
 class PoisonRequestDetector:
-    """Told of every send and its outcome; judges when asked."""
-
-    def __init__(self, terms: PoisonSettings) -> None:
-        self.terms = terms
-        self._blame = HeavyHitters(terms.most, terms.half_life)
-        self._sends = HeavyHitters(terms.most, terms.half_life)
-        self._harmed = HeavyHitters(terms.most, terms.half_life)
-        self._all = HeavyHitters(2, terms.half_life)  # "sends" and "harmed" of everyone
-        self._out: dict[api.EndpointId, dict[str, int]] = {}  # sends out by tenant
-        self._lost: dict[api.EndpointId, dict[str, float]] = {}  # shares of a loss that is being told
-
-    def sent(self, now: int, tenant: str, engine: api.EndpointId) -> None:
-        out = self._out.setdefault(engine, {})
-        out[tenant] = out.get(tenant, 0) + 1
-        self._lost.pop(engine, None)  # it takes sends again: the next loss is another one
-        self._sends.add(now, tenant, 1.0)
-        self._all.add(now, "sends", 1.0)
-
-    def ended(self, now: int, tenant: str, event: api.AttemptEnded, hint: int | None) -> None:
-        out = self._out.get(event.endpoint_id, {})
-        shares = self._shares(event.endpoint_id, out) if self._is_loss(event) else None
-        out[tenant] = out.get(tenant, 1) - 1
-        if out[tenant] <= 0:
-            out.pop(tenant, None)
-        if not out:
-            self._out.pop(event.endpoint_id, None)
-            if shares is None:
-                self._lost.pop(event.endpoint_id, None)
-        if shares is not None:
-            self._harm(now, tenant, LOST * shares.pop(tenant, 0.0))
+    """Counts attempts and faults by tenant; memory is bounded by `PoisonSettings.max_tenants` and by the
+    attempts in flight."""
+
+    def __init__(self, settings: PoisonSettings) -> None:
+        self.settings = settings
+        self._fault_scores = HeavyHitters(settings.max_tenants, settings.half_life)
+        self._attempts = HeavyHitters(settings.max_tenants, settings.half_life)
+        self._faults = HeavyHitters(settings.max_tenants, settings.half_life)
+        self._totals = HeavyHitters(2, settings.half_life)
+        self._in_flight: dict[api.EndpointId, dict[str, int]] = {}  # attempts by tenant
+        # Shares by tenant in the loss of an endpoint, whose attempts are being reported one by one.
+        self._loss_shares: dict[api.EndpointId, dict[str, float]] = {}
+
+    def attempt_started(self, now: int, tenant: str, endpoint_id: api.EndpointId) -> None:
+        """Counts an attempt of the tenant."""
+        in_flight = self._in_flight.setdefault(endpoint_id, {})
+        in_flight[tenant] = in_flight.get(tenant, 0) + 1
+        self._loss_shares.pop(endpoint_id, None)  # it takes attempts again: the next loss is another one
+        self._attempts.add(now, tenant, 1.0)
+        self._totals.add(now, _ATTEMPTS, 1.0)
+
+    def attempt_ended(self, now: int, tenant: str, event: api.AttemptEnded, work_hint: int | None) -> None:
+        """Counts the fault that the outcome shows, if any.
+
+        :param now: microseconds
+        :param tenant: whose attempt it was
+        :param event: the outcome
+        :param work_hint: expected work of the request, in the unit of `event.work`
+        """
+        endpoint_id = event.endpoint_id
+        in_flight = self._in_flight.get(endpoint_id, {})
+        loss_shares = self._shares_of_loss(endpoint_id, in_flight) if _is_endpoint_loss(event) else None
+        self._remove_attempt(tenant, endpoint_id, in_flight, is_loss=loss_shares is not None)
+        if loss_shares is not None:
+            self._add_fault(now, tenant, ENDPOINT_LOSS_SCORE * loss_shares.pop(tenant, 0.0))
         elif event.outcome is api.Outcome.ERROR:
-            self._harm(now, tenant, ERROR)
-        elif event.work and hint and event.work > TIMES * hint:
-            self._harm(now, tenant, RUNAWAY)
-
-    @staticmethod
-    def _is_loss(event: api.AttemptEnded) -> bool:
-        return event.outcome is api.Outcome.RESET and not event.endpoint_responded
-
-    def _shares(self, engine: api.EndpointId, out: dict[str, int]) -> dict[str, float]:
-        """One loss is one blame, split among the tenants that had sends out when it was first told."""
-        if engine not in self._lost:
-            total = sum(out.values()) or 1
-            self._lost[engine] = {tenant: count / total for tenant, count in out.items()}
-        return self._lost[engine]
-
-    def _harm(self, now: int, tenant: str, blame: float) -> None:
-        if blame:
-            self._blame.add(now, tenant, blame)
-        self._harmed.add(now, tenant, 1.0)
-        self._all.add(now, "harmed", 1.0)
-
-    def of(self, now: int, tenant: str) -> PoisonVerdict:
-        sends, harmed = (max(each.of(now, tenant).certain, 0.0) for each in (self._sends, self._harmed))
-        everyone = [self._all.of(now, name).certain for name in ("sends", "harmed")]
-        rest = max(everyone[0] - sends, 0.0)
-        others = max(everyone[1] - harmed, 0.0) / rest if rest >= LEAST_SENDS else 0.0
-        harm = min(1.0, harmed / sends) if sends >= LEAST_SENDS else 0.0
-        return PoisonVerdict(tenant, self._blame.of(now, tenant).certain, harm, others)
-
-    def poisonous(self, now: int) -> Iterator[PoisonVerdict]:
-        """The worst first."""
-        for blamed in self._blame.past(now, self.terms.bound):
-            found = self.of(now, blamed.tenant)
-            if found.harm > LIFT * found.others:
-                yield found
-
-    def is_clean(self, now: int, tenant: str) -> bool:
-        """Its blame has faded to under half the bound."""
-        return self._blame.of(now, tenant).certain < self.terms.bound / 2
+            self._add_fault(now, tenant, ERROR_SCORE)
+        elif event.work and work_hint and event.work > RUNAWAY_WORK_RATIO * work_hint:
+            self._add_fault(now, tenant, RUNAWAY_WORK_SCORE)
+
+    def verdict_for(self, now: int, tenant: str) -> PoisonVerdict:
+        """Returns the tenant's figures, whether it is poisonous or not."""
+        attempts = max(self._attempts.estimate(now, tenant).lower_bound, 0.0)
+        faults = max(self._faults.estimate(now, tenant).lower_bound, 0.0)
+        all_attempts = self._totals.estimate(now, _ATTEMPTS).lower_bound
+        all_faults = self._totals.estimate(now, _FAULTS).lower_bound
+        other_attempts = max(all_attempts - attempts, 0.0)
+        others_fault_ratio = 0.0
+        if other_attempts >= MIN_ATTEMPTS:
+            others_fault_ratio = max(all_faults - faults, 0.0) / other_attempts
+        fault_ratio = min(1.0, faults / attempts) if attempts >= MIN_ATTEMPTS else 0.0
+        fault_score = self._fault_scores.estimate(now, tenant).lower_bound
+        return PoisonVerdict(tenant, fault_score, fault_ratio, others_fault_ratio)
+
+    def find_poisonous(self, now: int) -> Iterator[PoisonVerdict]:
+        """Yields the poisonous tenants, the highest fault score first."""
+        for estimate in self._fault_scores.above(now, self.settings.fault_threshold):
+            verdict = self.verdict_for(now, estimate.tenant)
+            if verdict.fault_ratio > MIN_FAULT_RATIO_LIFT * verdict.others_fault_ratio:
+                yield verdict
+
+    def has_recovered(self, now: int, tenant: str) -> bool:
+        """Returns whether the tenant's fault score has decayed below half the threshold."""
+        fault_score = self._fault_scores.estimate(now, tenant).lower_bound
+        return fault_score < self.settings.fault_threshold / 2
+
+    def _remove_attempt(
+        self, tenant: str, endpoint_id: api.EndpointId, in_flight: dict[str, int], is_loss: bool
+    ) -> None:
+        in_flight[tenant] = in_flight.get(tenant, 1) - 1
+        if in_flight[tenant] <= 0:
+            in_flight.pop(tenant, None)
+        if in_flight:
+            return
+        self._in_flight.pop(endpoint_id, None)
+        if not is_loss:
+            self._loss_shares.pop(endpoint_id, None)
+
+    def _shares_of_loss(self, endpoint_id: api.EndpointId, in_flight: dict[str, int]) -> dict[str, float]:
+        """Returns the shares of one loss by tenant, from the attempts that were in flight when it was first
+        reported."""
+        if endpoint_id not in self._loss_shares:
+            total = sum(in_flight.values()) or 1
+            self._loss_shares[endpoint_id] = {tenant: count / total for tenant, count in in_flight.items()}
+        return self._loss_shares[endpoint_id]
+
+    def _add_fault(self, now: int, tenant: str, score: float) -> None:
+        if score:
+            self._fault_scores.add(now, tenant, score)
+        self._faults.add(now, tenant, 1.0)
+        self._totals.add(now, _FAULTS, 1.0)
+
+
+def _is_endpoint_loss(event: api.AttemptEnded) -> bool:
+    return event.outcome is api.Outcome.RESET and not event.endpoint_responded
--- a/lotusstream/cells/tenant_lookup.py
+++ b/lotusstream/cells/tenant_lookup.py
@@ -1,4 +1,4 @@
-"""Whose command it is, as the operator file says."""
+"""Reads the tenant of a request from the sources that the plan names."""
 
 from __future__ import annotations
 
@@ -12,18 +12,24 @@
     sources: Iterable[TenantSource],
     fields: Mapping[str, str],
     key: str | None,
-    schema: Callable[[], str | None],
+    read_schema: Callable[[], str | None],
 ) -> str | None:
-    """The first source that tells one. `schema` reads the statement, and is asked only where it has to be.
-    A name that is too long for any plan is none."""
-    for each in sources:
-        match each.source:
+    """Returns what the first source with a tenant yields, or None. A name that is too long for any plan
+    counts as absent.
+
+    :param sources: in the order of the plan
+    :param fields: the request's fields by name
+    :param key: the request's idempotency key
+    :param read_schema: reads the schema from the statement; called only if a source needs it
+    """
+    for source in sources:
+        match source.kind:
             case TenantSourceKind.FIELD:
-                found = fields.get(each.name)
+                tenant = fields.get(source.name)
             case TenantSourceKind.KEY:
-                found = key
+                tenant = key
             case TenantSourceKind.SCHEMA:
-                found = schema()
-        if found and len(found) <= MAX_NAME_LENGTH:
-            return found
+                tenant = read_schema()
+        if tenant and len(tenant) <= MAX_NAME_LENGTH:
+            return tenant
     return None
--- a/lotusstream/cells/trie.py
+++ b/lotusstream/cells/trie.py
@@ -1,23 +1,41 @@
-"""Names, prefixes and patterns in one index: the most specific entry that fits a name.
+"""An index of names, prefixes and patterns that finds the most specific entry for a name.
 
-An exact name comes before all. Otherwise the entry with most literal characters wins, of two alike the one
-with the longer literal beginning, then a pattern before a prefix, then the one that was written first. A
-look-up walks the name once; patterns wait at the node of their literal beginning, so only those that can
-still fit are tried.
-"""
+An exact name comes first. Otherwise the entry with most literal characters wins; of equals the one with the
+longer literal beginning, then a pattern before a prefix, then the one that was added first. A lookup walks
+the name once. Patterns are stored at the node of their literal beginning, so only those that may match are
+tried."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import Generic, TypeVar
 
+from lotusstream.cells.errors import PatternError
+
 V = TypeVar("V")
-MAX_NAME_LENGTH, MOST_STARS = 256, 4  # characters; a pattern with more stars could take long to tell
 
+MAX_NAME_LENGTH = 256  # characters
+MAX_STAR_COUNT = 4  # a pattern with more could take long to match
+
+
+@dataclass(frozen=True, slots=True)
+class _Entry(Generic[V]):
+    """A name or prefix with its value."""
+
+    literals: int  # characters other than wildcards
+    value: V
 
-class PatternError(ValueError):
-    """What is wrong with an entry."""
+
+@dataclass(frozen=True, slots=True)
+class _Pattern(Generic[V]):
+    """An entry with wildcards inside."""
+
+    literals: int
+    order: int  # grows with each entry that is added
+    regex: re.Pattern[str]
+    value: V
 
 
 class _Node(Generic[V]):
@@ -26,18 +44,28 @@
     def __init__(self, label: str) -> None:
         self.label = label  # the characters from the parent to here
         self.children: dict[str, _Node[V]] = {}  # by their first character
-        self.exact: tuple[V] | None = None
-        self.prefix: tuple[int, V] | None = None  # literal characters, value
-        self.patterns: list[tuple[int, int, re.Pattern[str], V]] = []  # literals, order, what fits, value
+        self.exact: _Entry[V] | None = None
+        self.prefix: _Entry[V] | None = None
+        self.patterns: list[_Pattern[V]] = []  # most literals first
+
+    def split(self, length: int) -> _Node[V]:
+        """Returns a new node for the first `length` characters of the label, with this one as its child."""
+        parent: _Node[V] = _Node(self.label[:length])
+        self.label = self.label[length:]
+        parent.children[self.label[0]] = self
+        return parent
 
 
 class NameTrie(Generic[V]):
-    """Entries as `name`, `begin*` or with `*` and `?` anywhere. Raises BadPattern, also for one told
-    twice."""
+    """Values by entry: `name`, `prefix*`, `*suffix`, or a pattern with `*` and `?` anywhere."""
 
     def __init__(self, entries: Iterable[tuple[str, V]] = ()) -> None:
+        """
+        :param entries: pairs of entry and value
+        :raises PatternError: an entry is malformed or given twice
+        """
         self._root: _Node[V] = _Node("")
-        self._endings: _Node[V] = _Node("")  # of entries as in *-library, read from their end
+        self._suffix_root: _Node[V] = _Node("")  # of entries like *-library, read from their end
         self._count = 0
         self._known: set[str] = set()
         for entry, value in entries:
@@ -47,79 +75,103 @@
         return self._count
 
     def add(self, entry: str, value: V) -> None:
-        if not 0 < len(entry) <= MAX_NAME_LENGTH:
-            raise PatternError(f"a name of {len(entry)} characters; 1 to {MAX_NAME_LENGTH} would do")
-        if entry.count("*") > MOST_STARS:
-            raise PatternError(f"'{entry}' has more than {MOST_STARS} stars")
-        if entry in self._known:
-            raise PatternError(f"'{entry}' comes a second time")
+        """Adds an entry.
+
+        :raises PatternError: it is malformed or there already
+        """
+        self._check(entry)
         self._known.add(entry)
         self._count += 1
         literals = len(entry) - entry.count("*") - entry.count("?")
+        has_one_wildcard = literals == len(entry) - 1
         if literals == len(entry):
-            self._node(entry).exact = (value,)
-        elif len(entry) > 1 and entry.startswith("*") and literals == len(entry) - 1:
-            self._node(entry[:0:-1], self._endings).prefix = (literals, value)
-        elif entry.endswith("*") and literals == len(entry) - 1:
-            self._node(entry[:-1]).prefix = (literals, value)
+            self._make_node(self._root, entry).exact = _Entry(literals, value)
+        elif len(entry) > 1 and entry.startswith("*") and has_one_wildcard:
+            self._make_node(self._suffix_root, entry[:0:-1]).prefix = _Entry(literals, value)
+        elif entry.endswith("*") and has_one_wildcard:
+            self._make_node(self._root, entry[:-1]).prefix = _Entry(literals, value)
         else:
-            begin = re.split(r"[*?]", entry, maxsplit=1)[0]
-            fits = "".join({"*": ".*", "?": "."}.get(char, re.escape(char)) for char in entry)
-            waiting = self._node(begin).patterns
-            waiting.append((literals, self._count, re.compile(fits, re.DOTALL), value))
-            waiting.sort(key=lambda each: (-each[0], each[1]))
-
-    def _node(self, text: str, root: _Node[V] | None = None) -> _Node[V]:
-        """The node at the end of the text, made with those on the way."""
-        node = root or self._root
+            self._add_pattern(entry, literals, value)
+
+    def find(self, name: str) -> V | None:
+        """Returns the value of the most specific entry that matches the name, or None."""
+        best = self._find_suffix(name) if self._suffix_root.children else None
+        best_literals = best.literals if best is not None else -1
+        found = best.value if best is not None else None
+        node = self._root
+        position = 0
+        while True:
+            if node.prefix is not None and node.prefix.literals >= best_literals:
+                best_literals = node.prefix.literals
+                found = node.prefix.value
+            for pattern in node.patterns:
+                if pattern.literals < best_literals:
+                    break
+                if pattern.regex.fullmatch(name):
+                    best_literals = pattern.literals
+                    found = pattern.value
+                    break
+            if position == len(name):
+                return node.exact.value if node.exact is not None else found
+            child = node.children.get(name[position])
+            if child is None or not name.startswith(child.label, position):
+                return found
+            node = child
+            position += len(child.label)
+
+    def _check(self, entry: str) -> None:
+        if not 0 < len(entry) <= MAX_NAME_LENGTH:
+            raise PatternError(f"a name of {len(entry)} characters; 1 to {MAX_NAME_LENGTH} would do")
+        if entry.count("*") > MAX_STAR_COUNT:
+            raise PatternError(f"'{entry}' has more than {MAX_STAR_COUNT} stars")
+        if entry in self._known:
+            raise PatternError(f"'{entry}' comes a second time")
+
+    def _add_pattern(self, entry: str, literals: int, value: V) -> None:
+        beginning = re.split(r"[*?]", entry, maxsplit=1)[0]
+        wildcards = {"*": ".*", "?": "."}
+        regex = "".join(wildcards.get(character, re.escape(character)) for character in entry)
+        patterns = self._make_node(self._root, beginning).patterns
+        patterns.append(_Pattern(literals, self._count, re.compile(regex, re.DOTALL), value))
+        patterns.sort(key=lambda pattern: (-pattern.literals, pattern.order))
+
+    def _make_node(self, root: _Node[V], text: str) -> _Node[V]:
+        """Returns the node at the end of the text, and makes those on the way that are missing."""
+        node = root
         while text:
             child = node.children.get(text[0])
             if child is None:
                 child = node.children[text[0]] = _Node(text)
                 return child
-            common = 0
-            for one, other in zip(child.label, text, strict=False):
-                if one != other:
-                    break
-                common += 1
-            if common < len(child.label):  # splits the edge
-                middle: _Node[V] = _Node(child.label[:common])
-                child.label = child.label[common:]
-                middle.children[child.label[0]] = child
-                node.children[middle.label[0]] = middle
-                child = middle
-            node, text = child, text[common:]
+            common = _common_prefix_length(child.label, text)
+            if common < len(child.label):
+                child = child.split(common)
+                node.children[child.label[0]] = child
+            node = child
+            text = text[common:]
         return node
 
-    def find(self, name: str) -> V | None:
-        """The value of the most specific entry that fits, or None."""
-        best, found = self._ending(name) if self._endings.children else (-1, None)
-        node, at = self._root, 0
-        while True:
-            if node.prefix is not None and node.prefix[0] >= best:
-                best, found = node.prefix
-            for literals, _, fits, value in node.patterns:
-                if literals < best:
-                    break
-                if fits.fullmatch(name):
-                    best, found = literals, value
-                    break
-            if at == len(name):
-                return node.exact[0] if node.exact is not None else found
-            child = node.children.get(name[at])
-            if child is None or not name.startswith(child.label, at):
-                return found
-            node, at = child, at + len(child.label)
-
-    def _ending(self, name: str) -> tuple[int, V | None]:
-        """The longest ending that fits: its literal characters and its value."""
-        found: tuple[int, V | None] = (-1, None)
-        node, at = self._endings, 0
-        name = name[::-1]
-        while (child := node.children.get(name[at : at + 1])) is not None and name.startswith(
-            child.label, at
-        ):
-            node, at = child, at + len(child.label)
+    def _find_suffix(self, name: str) -> _Entry[V] | None:
+        """Returns the entry with the longest suffix that the name ends with, or None."""
+        found: _Entry[V] | None = None
+        node = self._suffix_root
+        position = 0
+        reversed_name = name[::-1]
+        while position < len(reversed_name):
+            child = node.children.get(reversed_name[position])
+            if child is None or not reversed_name.startswith(child.label, position):
+                break
+            node = child
+            position += len(child.label)
             if node.prefix is not None:
                 found = node.prefix
         return found
+
+
+def _common_prefix_length(one: str, other: str) -> int:
+    length = 0
+    for left, right in zip(one, other, strict=False):
+        if left != right:
+            break
+        length += 1
+    return length
--- a/lotusstream/net/migrations.py
+++ b/lotusstream/net/migrations.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from lotusstream.cells.controller import MigrationNotPersisted, MigrationPersisted, recover_migrations
-from lotusstream.cells.migration import Migration, MigrationStep
+from lotusstream.cells.messages import MigrationNotPersisted, MigrationPersisted
+from lotusstream.cells.migration import Migration, MigrationStep, recover_migrations
 from lotusstream.net.actor import Actor, Supervisor
 from lotusstream.wal.log import CorruptLogError, DiskError, Log
 
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -10,7 +10,8 @@
 
 from lotusstream import __version__
 from lotusstream import interface as api
-from lotusstream.cells.controller import AbortMigration, CellController, MigrateTenant, PlanReplaced
+from lotusstream.cells.controller import CellController
+from lotusstream.cells.messages import AbortMigration, MigrateTenant, PlanReplaced
 from lotusstream.cells.migration import IRREVERSIBLE_STEPS
 from lotusstream.levels.controller import Hold, LevelController, NewLadder, Release
 from lotusstream.levels.history import Cause, Change
@@ -271,29 +272,34 @@
 
     def _cells_told(self, tenant: str | None) -> dict[str, Any]:
         keeper, names = self._kept(), self._given.deployment.profiles
-        standing = keeper.standing()
+        standing = keeper.status()
         told: dict[str, Any] = {
             "now": self._clock.now(),
-            "version": standing.version,
-            "held": standing.held,
-            "poisoned": list(standing.poisoned),
-            "homeless": [each.decode("latin-1") for each in standing.homeless],
-            "moves": [dataclasses.asdict(move) | {"step": move.step.value} for move in standing.moves],
+            "version": standing.plan_version,
+            "held": standing.held_requests,
+            "poisoned": list(standing.poisoned_tenants),
+            "homeless": [each.decode("latin-1") for each in standing.unassigned],
+            "moves": [dataclasses.asdict(move) | {"step": move.step.value} for move in standing.migrations],
             "cells": [
-                dataclasses.asdict(cell)
-                | {
-                    "engines": [each.decode("latin-1") for each in cell.engines],
-                    "unserved": [names[at] for at in cell.unserved],
+                {
+                    "name": cell.name,
+                    "engines": [each.decode("latin-1") for each in cell.endpoint_ids],
+                    "ready": cell.ready_endpoints,
+                    "commands": cell.open_requests,
+                    "tenants": cell.open_tenants,
+                    "unserved": [names[at] for at in cell.unserved_profiles],
+                    "lender": cell.lender,
+                    "quarantine": cell.quarantine,
                 }
                 for cell in standing.cells
             ],
         }
         if tenant is not None:
-            told["tenant"], told["home"] = tenant, keeper.plan.home(tenant)
+            told["tenant"], told["home"] = tenant, keeper.plan.cell_name_of(tenant)
         return told
 
     async def _move(self, tenant: str, cell: str, dry_run: bool) -> dict[str, Any]:
-        if (why := self._kept().refuses(self._clock.now(), tenant, cell)) is not None:
+        if (why := self._kept().migration_refusal(self._clock.now(), tenant, cell)) is not None:
             raise ControlRejectedError("unknown", why)
         if not dry_run:
             self._decider.post(SubsystemEvent(MigrateTenant(tenant, cell, "by hand")))
@@ -301,7 +307,7 @@
         return self._cells_told(tenant)
 
     async def _abort(self, tenant: str) -> dict[str, Any]:
-        move = self._kept().moves.get(tenant)
+        move = self._kept().migrations.get(tenant)
         if move is None or move.step in IRREVERSIBLE_STEPS:
             raise ControlRejectedError("unknown", f"'{tenant}' is on no way that it could come back from")
         self._decider.post(SubsystemEvent(AbortMigration(tenant, "by hand")))
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -105,7 +105,7 @@
         self._decider.post(SubsystemEvent(event))
 
     def beside(self, module: DecisionModule) -> DecisionModule:
-        from lotusstream.cells.controller import CellAdmission
+        from lotusstream.cells.admission import CellAdmission
 
         log = self.around.supervisor.log
         return CellAdmission(
@@ -176,7 +176,7 @@
 
     def _leave_moves_to_others(self, decider: Decider) -> None:
         """In a fleet a move needs the lease, also where this gateway never asks for it."""
-        from lotusstream.cells.controller import MigrationLeaseChanged
+        from lotusstream.cells.messages import MigrationLeaseChanged
         from lotusstream.operator.fleet import MIGRATION_TASK
 
         told = self.around.file.fleet
--- a/lotusstream/net/tasks.py
+++ b/lotusstream/net/tasks.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lotusstream.cells.controller import MigrationLeaseChanged
+from lotusstream.cells.messages import MigrationLeaseChanged
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.decider_messages import SubsystemEvent
 from lotusstream.operator.fleet import MIGRATION_TASK
--- a/lotusstream/operator/cells.py
+++ b/lotusstream/operator/cells.py
@@ -7,18 +7,20 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
+from lotusstream.cells.errors import PatternError
 from lotusstream.cells.plan import (
     BY_WEIGHT,
     Cell,
     CellPlan,
     EmptyCellPolicy,
     EndpointSelector,
+    HashRange,
     TenantSource,
     TenantSourceKind,
-    find_plan_problems,
 )
+from lotusstream.cells.plan_check import find_plan_problems
 from lotusstream.cells.poison_requests import PoisonSettings
-from lotusstream.cells.trie import NameTrie, PatternError
+from lotusstream.cells.trie import NameTrie
 from lotusstream.interface import EndpointEntry, Profile
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
@@ -74,7 +76,15 @@
         for cell, texts in self.cells:
             chosen = tuple(_chosen(text, zones, kinds) for text in texts)
             cells.append(
-                Cell(cell.name, chosen, cell.shard, cell.weight, cell.empty, cell.lender, cell.quarantine)
+                Cell(
+                    cell.name,
+                    chosen,
+                    cell.shard_size,
+                    cell.weight,
+                    cell.empty_policy,
+                    cell.lender,
+                    cell.quarantine,
+                )
             )
         return CellPlan(1, self.sources, tuple(cells), self.tenants, self.nameless, self.others, self.seed)
 
@@ -91,7 +101,7 @@
         places(text.kinds, kinds, "kind"),
         frozenset(text.list_cells) if text.list_cells else None,
         frozenset(each.encode() for each in text.ids) if text.ids else None,
-        text.part,
+        HashRange(*text.part) if text.part is not None else None,
     )
 
 
@@ -158,7 +168,7 @@
     """`refuse`, or `borrow CELL`."""
     told = [word.plain() for word in words]
     if told == ["refuse"]:
-        return EmptyCellPolicy.REFUSE, None
+        return EmptyCellPolicy.REJECT, None
     if len(told) == 2 and told[0] == "borrow":
         return EmptyCellPolicy.BORROW, told[1]
     found = f"found '{words[0].text}'" if words else "found the end of the line"
@@ -211,7 +221,7 @@
     cells = []
     for node in block.all("cell"):
         here = node.values["a name"]
-        empty, lender = node.value("empty", "rest", (EmptyCellPolicy.REFUSE, None))
+        empty, lender = node.value("empty", "rest", (EmptyCellPolicy.REJECT, None))
         quarantine = node.one("quarantine") is not None
         if lender is not None and (lender not in names or lender == here):
             at = node.one("empty") or node
@@ -271,9 +281,9 @@
     """
     match value:
         case EmptyCellPolicy():
-            return f"<Empty.{value.name}: {value.value!r}>"
+            return f"<Empty.{value.value.upper()}: {value.value!r}>"
         case TenantSource():
-            source = f"<Source.{value.source.name}: {value.source.value!r}>"
+            source = f"<Source.{value.kind.value.upper()}: {value.kind.value!r}>"
             return f"TenantSource(source={source}, name={value.name!r})"
         case EnginesText():
             return (
@@ -311,7 +321,7 @@
     except DirectiveError:
         return
     for each in find_plan_problems(plan, around.engines, around.profiles) if around.engines else ():
-        if each.grave:
+        if each.fatal:
             at = places.get(each.cell, block)
-            what = f"cell {each.cell}: {each.what}" if each.cell else each.what
+            what = f"cell {each.cell}: {each.message}" if each.cell else each.message
             yield Problem(file, at.line, at.column, what, each.hint)
--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -12,17 +12,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lotusstream import interface as api
-from lotusstream.cells.controller import (
+from lotusstream.cells.admission import CellAdmission
+from lotusstream.cells.controller import CellController
+from lotusstream.cells.messages import (
     AbortMigration,
-    CellAdmission,
-    CellController,
     MigrateTenant,
     MigrationNotPersisted,
     MigrationPersisted,
     PlanReplaced,
-    recover_migrations,
 )
-from lotusstream.cells.migration import Migration, MigrationStep, migration_timing
+from lotusstream.cells.migration import Migration, MigrationStep, migration_timing, recover_migrations
 from lotusstream.cells.plan import (
     Cell,
     CellPlan,
@@ -62,7 +61,7 @@
 
 
 FLEET = (engine(1, kind=1), engine(2), engine(3, zone=1, kind=1), engine(4, zone=1))
-TERMS = migration_timing(PROFILES, hold=2 * S, drain=20 * S)
+TERMS = migration_timing(PROFILES, hold_timeout=2 * S, drain_timeout=20 * S)
 
 
 class Host:
@@ -147,7 +146,7 @@
         return {zone[where] for where in self.sent.get(command, ())}
 
     def step(self, tenant: str = "uni-a") -> MigrationStep | None:
-        move = self.keeper.moves.get(tenant)
+        move = self.keeper.migrations.get(tenant)
         return move.step if move else None
 
 
@@ -173,7 +172,7 @@
     host.pass_time(12 * S)
     assert [move.step for move in host.disk] == [
         MigrationStep.PREPARED, MigrationStep.FENCED, MigrationStep.DRAINING,
-        MigrationStep.RESTING, MigrationStep.SWITCHED, MigrationStep.DONE,
+        MigrationStep.COOLING_DOWN, MigrationStep.SWITCHED, MigrationStep.DONE,
     ]  # fmt: skip
     assert host.zones(host.take()) == {1} and host.zones(host.take("uni-b")) == {0}
 
@@ -208,7 +207,7 @@
     host.pass_time(20 * S)
     assert host.zones(load) == {0} and host.step() is MigrationStep.DONE
     rested = [
-        move.since for move in host.disk if move.step in (MigrationStep.RESTING, MigrationStep.SWITCHED)
+        move.since for move in host.disk if move.step in (MigrationStep.COOLING_DOWN, MigrationStep.SWITCHED)
     ]
     assert rested[1] - rested[0] >= UNIQUED.deduplication_window
 
@@ -231,7 +230,7 @@
     host.take(profile=2)
     host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(24 * S)
-    assert host.step() is MigrationStep.UNDONE and "no outcome in time" in host.disk[-1].why
+    assert host.step() is MigrationStep.ROLLED_BACK and "no outcome in time" in host.disk[-1].why
     assert host.zones(host.take()) == {0}
 
 
@@ -239,7 +238,7 @@
     host = Host()
     host.tell(MigrateTenant("uni-a", "west", "by hand"))
     host.pass_time(3 * S)
-    assert host.step() is MigrationStep.RESTING
+    assert host.step() is MigrationStep.COOLING_DOWN
     held = host.take(profile=3)
     host.tell(
         api.EndpointListReceived(
@@ -247,7 +246,7 @@
         )
     )
     host.pass_time(S)
-    assert host.step() is MigrationStep.UNDONE and host.zones(held) == {0}
+    assert host.step() is MigrationStep.ROLLED_BACK and host.zones(held) == {0}
     host.tell(MigrateTenant("uni-a", "west", "again"))
     assert "can't take 'uni-a'" in host.refused[-1]
 
@@ -259,7 +258,7 @@
     held = host.take()
     host.tell(AbortMigration("uni-a", "by hand"))
     host.pass_time(S)
-    assert host.step() is MigrationStep.UNDONE and host.zones(held) == {0}
+    assert host.step() is MigrationStep.ROLLED_BACK and host.zones(held) == {0}
 
 
 def test_moves_that_make_no_sense_are_refused_with_their_reason() -> None:
@@ -287,7 +286,7 @@
     host.full = True
     held = host.take()
     host.pass_time(8 * S)
-    assert host.step() is MigrationStep.UNDONE and host.finals(held) and host.zones(host.take()) == {0}
+    assert host.step() is MigrationStep.ROLLED_BACK and host.finals(held) and host.zones(host.take()) == {0}
 
 
 @pytest.mark.parametrize("writes", range(7))
@@ -296,7 +295,7 @@
     host.tell(MigrateTenant("uni-a", "west", ""))
     host.pass_time(12 * S)
     again = Host(disk=host.disk[:writes], now=host.now + S)
-    assert again.step() in (None, MigrationStep.UNDONE, MigrationStep.DONE)
+    assert again.step() in (None, MigrationStep.ROLLED_BACK, MigrationStep.DONE)
     assert again.zones(again.take()) == ({1} if writes >= 5 else {0})
 
 
@@ -306,11 +305,13 @@
     host.pass_time(3 * S)
     host.tell(
         PlanReplaced(
-            plan(cells=(Cell("east", (EAST, WEST)),), tenants=NameTrie([("*", "east")]), nameless="east")
+            plan(
+                cells=(Cell("east", (EAST, WEST)),), tenants=NameTrie([("*", "east")]), untenanted_cell="east"
+            )
         )
     )
     host.pass_time(S)
-    assert host.step() is MigrationStep.UNDONE and host.sent[host.take()]
+    assert host.step() is MigrationStep.ROLLED_BACK and host.sent[host.take()]
 
 
 def test_a_plan_that_puts_a_tenant_elsewhere_moves_it_where_marks_may_be_remembered() -> None:
@@ -319,7 +320,7 @@
         host.end(host.take(tenant, profile))
     host.tell(PlanReplaced(plan(tenants=NameTrie([("uni-*", "west")]))))
     assert host.zones(host.take("uni-b")) == {1} and host.step("uni-b") is None
-    assert host.keeper.plan.home("uni-a") == "east" and host.step("uni-a") is not None
+    assert host.keeper.plan.cell_name_of("uni-a") == "east" and host.step("uni-a") is not None
     host.pass_time(12 * S)
     assert host.step("uni-a") is MigrationStep.DONE and host.zones(host.take("uni-a")) == {1}
 
@@ -327,7 +328,10 @@
 def test_what_carries_a_mark_is_not_sent_to_a_lender_whose_engines_do_not_know_it() -> None:
     host = Host(
         plan(
-            cells=(Cell("east", (EAST,), empty=EmptyCellPolicy.BORROW, lender="west"), Cell("west", (WEST,)))
+            cells=(
+                Cell("east", (EAST,), empty_policy=EmptyCellPolicy.BORROW, lender="west"),
+                Cell("west", (WEST,)),
+            )
         )
     )
     gone = tuple(replace(each, status=api.EndpointStatus.REMOVED) for each in FLEET[:2])
@@ -340,7 +344,7 @@
     gone = tuple(replace(each, status=api.EndpointStatus.REMOVED) for each in FLEET[:2])
     for cell, answered in (
         (Cell("east", (EAST,)), False),
-        (Cell("east", (EAST,), empty=EmptyCellPolicy.BORROW, lender="west"), True),
+        (Cell("east", (EAST,), empty_policy=EmptyCellPolicy.BORROW, lender="west"), True),
     ):
         host = Host(plan(cells=(cell, Cell("west", (WEST,)))))
         host.tell(api.EndpointListReceived(api.EndpointListKind.DELTA, gone))
@@ -359,17 +363,18 @@
 
 
 def test_thousands_of_new_tenants_leave_nothing_behind() -> None:
-    host = Host(plan(cells=(Cell("east", (EAST,), shard=1), Cell("west", (WEST,)))))
+    host = Host(plan(cells=(Cell("east", (EAST,), shard_size=1), Cell("west", (WEST,)))))
     for number in range(3000):
         host.end(host.take(f"uni-{number}"))
-    keeper = host.keeper
-    assert not keeper._open and not keeper._by_tenant and not keeper._sends and len(keeper._places) == 0
+    requests, placement = host.keeper._requests, host.keeper._placement
+    assert not requests._open and not requests._by_tenant and not requests._attempt_counts
+    assert len(placement._assignments) == 0
 
 
 @pytest.mark.parametrize("ward", [True, False])
 def test_a_tenant_that_kills_engines_goes_to_quarantine_or_is_refused_and_comes_back(ward: bool) -> None:
     cells = (Cell("east", (EAST,)), Cell("ward", (WEST,), quarantine=True))
-    made = plan(cells=cells, tenants=NameTrie([("*", "east")]), nameless="east")
+    made = plan(cells=cells, tenants=NameTrie([("*", "east")]), untenanted_cell="east")
     host = Host(made, poison=PoisonSettings(4.0, 20 * S, 30 * S, "ward" if ward else None))
     for _ in range(6):
         kills, beside = host.take("uni-bad", profile=2), host.take("uni-good", profile=2)
@@ -377,7 +382,7 @@
             if any(command == each for each, _ in host.out):
                 host.end(command, outcome)
     host.pass_time(S)
-    assert host.keeper.standing().poisoned == ("uni-bad",)
+    assert host.keeper.status().poisoned_tenants == ("uni-bad",)
     if ward:
         host.pass_time(10 * S)
         assert host.step("uni-bad") is MigrationStep.DONE and "poison: blame" in host.disk[0].why
@@ -388,7 +393,7 @@
         refused = host.take("uni-bad")
         assert host.finals(refused) and not host.sent.get(refused)
     host.pass_time(60 * S)
-    assert host.zones(host.take("uni-bad")) == {0} and host.keeper.standing().poisoned == ()
+    assert host.zones(host.take("uni-bad")) == {0} and host.keeper.status().poisoned_tenants == ()
 
 
 class AnyCourse(RuleBasedStateMachine):
@@ -406,7 +411,7 @@
             for engine_id in where[self.counted.get(command, 0) :]:
                 tenant = self.host.tenants[command]
                 zone = next(each.zone for each in FLEET if each.id == engine_id)
-                home = {"east": 0, "west": 1}[self.host.keeper.plan.home(tenant)]
+                home = {"east": 0, "west": 1}[self.host.keeper.plan.cell_name_of(tenant)]
                 assert zone == home, "sent outside its cell"
                 if command in self.mark_of:
                     self.effects.setdefault(self.mark_of[command][0], set()).add(zone)
--- a/tests/cells/test_poison.py
+++ b/tests/cells/test_poison.py
@@ -12,7 +12,7 @@
 from lotusstream.cells.heavy_hitters import HeavyHitters
 from lotusstream.cells.poison_requests import PoisonRequestDetector, PoisonSettings
 
-TERMS = PoisonSettings(bound=5.0, half_life=30 * S, stay=60 * S, cell="ward")
+TERMS = PoisonSettings(fault_threshold=5.0, half_life=30 * S, quarantine_time=60 * S, quarantine_cell="ward")
 ENGINES = [bytes([n] * 6) for n in range(4)]
 
 
@@ -28,19 +28,19 @@
     for turn in range(400):
         now += S // 20
         engine, tenant = rng.choice(ENGINES), rng.choice(tenants)
-        judge.sent(now, tenant, engine)
+        judge.attempt_started(now, tenant, engine)
         if turn % 10:
-            judge.ended(now, tenant, ended(engine, api.Outcome.ANSWERED), 100)
+            judge.attempt_ended(now, tenant, ended(engine, api.Outcome.ANSWERED), 100)
             continue
         neighbours = rng.sample(tenants, 3)
         for each in neighbours:
-            judge.sent(now, each, engine)
-        judge.sent(now, "killer", engine)
+            judge.attempt_started(now, each, engine)
+        judge.attempt_started(now, "killer", engine)
         for each in (*neighbours, "killer", tenant):
-            judge.ended(now, each, ended(engine, api.Outcome.RESET, heard=False), 100)
-    found = list(judge.poisonous(now))
-    assert [each.tenant for each in found] == ["killer"] and found[0].harm == 1.0
-    assert not judge.is_clean(now, "killer") and judge.is_clean(now + 300 * S, "killer")
+            judge.attempt_ended(now, each, ended(engine, api.Outcome.RESET, heard=False), 100)
+    found = list(judge.find_poisonous(now))
+    assert [each.tenant for each in found] == ["killer"] and found[0].fault_ratio == 1.0
+    assert not judge.has_recovered(now, "killer") and judge.has_recovered(now + 300 * S, "killer")
 
 
 def test_errors_and_work_that_runs_away_are_blamed_on_their_tenant_alone() -> None:
@@ -48,20 +48,20 @@
         judge = PoisonRequestDetector(TERMS)
         for turn in range(20):
             for tenant in ("feed", "good"):
-                judge.sent(S + turn, tenant, ENGINES[0])
+                judge.attempt_started(S + turn, tenant, ENGINES[0])
                 bad = tenant == "feed"
                 event = ended(ENGINES[0], outcome if bad else api.Outcome.ANSWERED, work if bad else 100)
-                judge.ended(S + turn, tenant, event, 100)
-        assert [each.tenant for each in judge.poisonous(S + 30)] == ["feed"]
+                judge.attempt_ended(S + turn, tenant, event, 100)
+        assert [each.tenant for each in judge.find_poisonous(S + 30)] == ["feed"]
 
 
 def test_where_everyone_fails_nobody_is_to_blame() -> None:
     judge = PoisonRequestDetector(TERMS)
     for turn in range(200):
         tenant = f"t{turn % 10}"
-        judge.sent(S + turn, tenant, ENGINES[0])
-        judge.ended(S + turn, tenant, ended(ENGINES[0], api.Outcome.ERROR), 100)
-    assert list(judge.poisonous(S + 200)) == []
+        judge.attempt_started(S + turn, tenant, ENGINES[0])
+        judge.attempt_ended(S + turn, tenant, ended(ENGINES[0], api.Outcome.ERROR), 100)
+    assert list(judge.find_poisonous(S + 200)) == []
 
 
 @given(st.lists(st.integers(0, 30), max_size=300), st.integers(1, 10))
@@ -77,12 +77,17 @@
     now = max(0, len(who) - 1) * S
     assert len(blame) <= most
     for name, count in true.items():
-        found = blame.of(now, name)
-        assert found.certain <= count + 1e-6 and (found.most == 0 or count <= found.most + 1e-6)
+        found = blame.estimate(now, name)
+        assert found.lower_bound <= count + 1e-6 and (
+            found.upper_bound == 0 or count <= found.upper_bound + 1e-6
+        )
 
 
 def test_blame_fades_over_years_without_losing_its_order() -> None:
     blame = HeavyHitters(10, S)
     for at in range(5000):
         blame.add(at * S, "old" if at < 10 else "new", 1.0)
-    assert blame.of(5000 * S, "old").most < 1e-9 and 0.9 < blame.of(4999 * S, "new").certain < 2.1
+    assert (
+        blame.estimate(5000 * S, "old").upper_bound < 1e-9
+        and 0.9 < blame.estimate(4999 * S, "new").lower_bound < 2.1
+    )
--- a/tests/cells/test_trie.py
+++ b/tests/cells/test_trie.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotusstream.cells.trie import NameTrie, PatternError
+from lotusstream.cells.errors import PatternError
+from lotusstream.cells.trie import NameTrie
 
 
 def test_the_most_specific_entry_wins() -> None:
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -198,10 +198,10 @@
         MigrationStep.PREPARED,
         MigrationStep.FENCED,
         MigrationStep.DRAINING,
-        MigrationStep.RESTING,
+        MigrationStep.COOLING_DOWN,
         MigrationStep.SWITCHED,
         MigrationStep.DONE,
-        MigrationStep.UNDONE,
+        MigrationStep.ROLLED_BACK,
     )
 }
 
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -58,7 +58,7 @@
         "state",
         "shared",
     ]
-    assert found.cells.poison is not None and found.cells.poison.cell == "ward"
+    assert found.cells.poison is not None and found.cells.poison.quarantine_cell == "ward"
 
 
 def test_an_empty_file_asks_for_nothing() -> None:
