--- a/benchmarks/ladders.py
+++ b/benchmarks/ladders.py
@@ -7,9 +7,11 @@
 
 from benchmarks.fleet import NAMES, Module
 from lotusstream import interface as api
-from lotusstream.levels.condition import Compare, Condition
-from lotusstream.levels.controller import LevelAdmission, LevelController
+from lotusstream.levels.admission import LevelAdmission
+from lotusstream.levels.condition import Comparison, Condition
+from lotusstream.levels.controller import LevelController
 from lotusstream.levels.ladder import Ladder, Level
+from lotusstream.levels.signals import SignalKey
 from lotusstream.operator.file import load_operator_file
 from lotusstream.policy import Gateway
 
@@ -31,12 +33,14 @@
     otherwise. No hysteresis, no ramp, no least stay."""
 
     def __init__(self, given: api.GatewayStarted, limit: float = 1.0, admit: float = 0.5) -> None:
-        above = Condition(Compare(("load", None), above=True, limit=limit))
-        below = Condition(Compare(("load", None), above=False, limit=limit, reaches=True))
+        above = Condition(Comparison(SignalKey("load"), above=True, limit=limit))
+        below = Condition(Comparison(SignalKey("load"), above=False, limit=limit, inclusive=True))
         level = Level("cut", above, below, 0, {"lookup": admit})
-        plain = replace(shipped(), levels=(level,), quiet=0, ramp=0, lost=1.0, start=None)
-        self.beside = with_ladder(plain, given)
-        self.handle = self.beside.handle
+        plain = replace(
+            shipped(), levels=(level,), min_interval=0, ramp_time=0, lost_cores_ratio=1.0, initial=None
+        )
+        self.admission = with_ladder(plain, given)
+        self.handle = self.admission.handle
 
 
 class QueueDelay:
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -12,7 +12,8 @@
 from benchmarks.fleet import LOOKUP, NAMES, REPORT, Fleet, Outcome, S, Script, started
 from benchmarks.ladders import FixedThreshold, QueueDelay, plain, shipped, with_ladder
 from lotusstream import interface as api
-from lotusstream.levels.controller import LevelAdmission, LevelController
+from lotusstream.levels.admission import LevelAdmission
+from lotusstream.levels.controller import LevelController
 from lotusstream.policy import Gateway
 
 SEEDS = (1, 2, 3)
@@ -78,8 +79,8 @@
     began = time.process_time()
     fleet = Fleet(script, seed, module)
     out = fleet.run()
-    keeper = getattr(getattr(module, "beside", module), "keeper", None)
-    changes = [change.at for change in keeper.history] if keeper else []
+    keeper = getattr(getattr(module, "admission", module), "controller", None)
+    changes = [change.changed_at for change in keeper.history] if keeper else []
     most = max((sum(at <= other < at + 30 * S for other in changes) for at in changes), default=0)
     return {
         "variant": variant, "kind": kind, "period": period, "seed": seed, "benefit": out.kept(),
--- a/lotusstream/levels/__init__.py
+++ b/lotusstream/levels/__init__.py
@@ -1,6 +1,6 @@
-"""Levels of reduced service: which one holds, and why. No I/O, no clock.
+"""Degradation levels: which level of reduced service is in force, and why.
 
-`LevelKeeper.handle(now, event)` takes every event and action of the decision module and the keeper's own
-events, and returns what is to be told to the module and what has changed. `Beside` keeps a module and a
-keeper together.
+The package decides and does no I/O. `admission` stands in front of the decision module; `controller` changes
+levels by conditions over signals, which `signal_evaluator` computes from the events and actions of the
+decision module. Times are whole microseconds of the caller's clock.
 """
--- a/lotusstream/levels/condition.py
+++ b/lotusstream/levels/condition.py
@@ -1,6 +1,6 @@
-"""Conditions over signals: whether they hold, which part of them does, and what two of them have in common.
+"""Conditions over signals: whether they hold, which comparisons make them hold, and how two of them relate.
 
-Truth has three values: an unknown signal makes a comparison neither true nor false (Kleene's strong logic).
+Logic is three-valued (Kleene's strong logic): a comparison with an unknown signal is neither true nor false.
 """
 
 from __future__ import annotations
@@ -10,142 +10,193 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from lotusstream.levels.signals import SIGNALS, Key, Value, spelled, written
+from lotusstream.levels.signals import SIGNALS, SignalKey, SignalValue, format_key, format_value
 
-Values = Mapping[Key, Value | None]
+SignalValues = Mapping[SignalKey, SignalValue | None]
+"""Values by key; None or absent: unknown."""
 
 
 @dataclass(frozen=True, slots=True)
-class Compare:
-    """`above`: the signal lies over the limit, otherwise under it. `reaches`: the limit itself counts."""
+class Comparison:
+    """A signal compared with a limit."""
 
-    key: Key
-    above: bool
-    limit: float
-    reaches: bool = False
+    key: SignalKey
+    above: bool  # True: holds above the limit, False: below
+    limit: float  # in the unit of the signal
+    inclusive: bool = False  # whether it holds at the limit itself
 
     def __str__(self) -> str:
-        sign = (">" if self.above else "<") + ("=" if self.reaches else "")
-        return f"{spelled(self.key)} {sign} {written(self.limit, SIGNALS[self.key[0]].unit)}"
+        sign = (">" if self.above else "<") + ("=" if self.inclusive else "")
+        return f"{format_key(self.key)} {sign} {format_value(self.limit, SIGNALS[self.key.signal].unit)}"
 
-    def truth(self, values: Values) -> bool | None:
+    def evaluate(self, values: SignalValues) -> bool | None:
+        """Returns whether it holds; None if the signal is unknown."""
         value = values.get(self.key)
         if value is None:
             return None
         if value.value == self.limit:
-            return self.reaches
+            return self.inclusive
         return (value.value > self.limit) is self.above
 
-    def opposite(self) -> Compare:
-        return replace(self, above=not self.above, reaches=not self.reaches)
+    def negate(self) -> Comparison:
+        """Returns the comparison that holds wherever this one does not."""
+        return replace(self, above=not self.above, inclusive=not self.inclusive)
 
 
 @dataclass(frozen=True, slots=True)
-class All:
+class AllOf:
+    """Holds where all parts do."""
+
     parts: tuple[Expression, ...]
 
     def __str__(self) -> str:
-        return " and ".join(f"({part})" if isinstance(part, Any) else str(part) for part in self.parts)
+        return " and ".join(f"({part})" if isinstance(part, AnyOf) else str(part) for part in self.parts)
 
 
 @dataclass(frozen=True, slots=True)
-class Any:
+class AnyOf:
+    """Holds where any part does."""
+
     parts: tuple[Expression, ...]
 
     def __str__(self) -> str:
         return " or ".join(str(part) for part in self.parts)
 
 
-Expression = Compare | All | Any
-Conjunction = tuple[Compare, ...]
+Expression = Comparison | AllOf | AnyOf
+Conjunction = tuple[Comparison, ...]
+"""Comparisons that are to hold together."""
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """`dwell`: how long the expression has to hold without a break, microseconds."""
+    """An expression that has to hold for a time."""
 
-    what: Expression
-    dwell: int = 0
+    expression: Expression
+    dwell: int = 0  # how long it has to hold without a break, microseconds
 
     def __str__(self) -> str:
-        return f"{self.what} for {self.dwell / 1e6:g}s" if self.dwell else str(self.what)
+        return f"{self.expression} for {self.dwell / 1e6:g}s" if self.dwell else str(self.expression)
 
 
-def truth(what: Expression, values: Values) -> bool | None:
-    if isinstance(what, Compare):
-        return what.truth(values)
-    found = [truth(part, values) for part in what.parts]
-    decisive = isinstance(what, Any)
-    if decisive in found:
+def evaluate(expression: Expression, values: SignalValues) -> bool | None:
+    """Returns whether the expression holds; None if that depends on unknown signals."""
+    if isinstance(expression, Comparison):
+        return expression.evaluate(values)
+    results = [evaluate(part, values) for part in expression.parts]
+    decisive = isinstance(expression, AnyOf)  # one part with this result decides the whole
+    if decisive in results:
         return decisive
-    return None if None in found else not decisive
-
-
-def comparisons(what: Expression) -> Iterable[Compare]:
-    if isinstance(what, Compare):
-        yield what
-    else:
-        for part in what.parts:
-            yield from comparisons(part)
-
-
-def fired(what: Expression, values: Values) -> list[Compare]:
-    """The comparisons that hold, of a condition that holds by them."""
-    if isinstance(what, Compare):
-        return [what] if what.truth(values) else []
-    if isinstance(what, Any):
-        return next((fired(part, values) for part in what.parts if truth(part, values)), [])
-    return [each for part in what.parts for each in fired(part, values)]
-
-
-def alternatives(what: Expression) -> list[Conjunction]:
-    """Disjunctive normal form: it holds where all of one of these do."""
-    if isinstance(what, Compare):
-        return [(what,)]
-    inner = [alternatives(part) for part in what.parts]
-    if isinstance(what, Any):
-        return [each for part in inner for each in part]
-    return [tuple(itertools.chain.from_iterable(choice)) for choice in itertools.product(*inner)]
-
-
-def negation(what: Expression) -> Expression:
-    if isinstance(what, Compare):
-        return what.opposite()
-    parts = tuple(negation(part) for part in what.parts)
-    return All(parts) if isinstance(what, Any) else Any(parts)
-
-
-def possible(together: Iterable[Compare], apart: float = 0.0) -> bool:
-    """Some state of the signals satisfies all of them. Signals are taken as independent. `apart`: as a
-    share of the limit, how far apart two opposite limits have to lie to count as a contradiction."""
-    bounds: dict[Key, tuple[float, bool, float, bool]] = {}
-    for each in together:
-        low, low_in, high, high_in = bounds.get(each.key, (0.0, True, SIGNALS[each.key[0]].highest, True))
-        if each.above and (each.limit, not each.reaches) > (low, not low_in):
-            low, low_in = each.limit, each.reaches
-        elif not each.above and (each.limit, each.reaches) < (high, high_in):
-            high, high_in = each.limit, each.reaches
-        bounds[each.key] = (low, low_in, high, high_in)
-    for low, low_in, high, high_in in bounds.values():
-        gap = 0.0 if math.isinf(high) else low - high
-        if gap > apart * low or (gap == 0 and low == high and not apart and not (low_in and high_in)):
-            return False
-    return True
-
-
-def overlap(one: Expression, other: Expression, apart: float = 0.0) -> Conjunction | None:
-    """Comparisons of both that can hold at once, or lie closer together than `apart`; None where none can."""
-    for left, right in itertools.product(alternatives(one), alternatives(other)):
-        if possible(left) and possible(right) and possible((*left, *right), apart):
-            return (*left, *right)
+    return None if None in results else not decisive
+
+
+def comparisons(expression: Expression) -> Iterable[Comparison]:
+    """Yields all comparisons of the expression, in the order in which they are written."""
+    if isinstance(expression, Comparison):
+        yield expression
+        return
+    for part in expression.parts:
+        yield from comparisons(part)
+
+
+def true_comparisons(expression: Expression, values: SignalValues) -> list[Comparison]:
+    """Returns the comparisons that make an expression hold; none if it does not hold."""
+    if isinstance(expression, Comparison):
+        return [expression] if expression.evaluate(values) else []
+    if isinstance(expression, AnyOf):
+        for part in expression.parts:
+            if evaluate(part, values):
+                return true_comparisons(part, values)
+        return []
+    return [each for part in expression.parts for each in true_comparisons(part, values)]
+
+
+def disjunctive_normal_form(expression: Expression) -> list[Conjunction]:
+    """Returns conjunctions of which at least one holds exactly where the expression does."""
+    if isinstance(expression, Comparison):
+        return [(expression,)]
+    parts = [disjunctive_normal_form(part) for part in expression.parts]
+    if isinstance(expression, AnyOf):
+        return list(itertools.chain.from_iterable(parts))
+    return [tuple(itertools.chain.from_iterable(choice)) for choice in itertools.product(*parts)]
+
+
+def negate(expression: Expression) -> Expression:
+    """Returns the expression that holds wherever this one does not."""
+    if isinstance(expression, Comparison):
+        return expression.negate()
+    parts = tuple(negate(part) for part in expression.parts)
+    return AllOf(parts) if isinstance(expression, AnyOf) else AnyOf(parts)
+
+
+@dataclass(slots=True)
+class _Interval:
+    """The values of one signal that meet all comparisons so far."""
+
+    low: float
+    high: float
+    low_inclusive: bool = True
+    high_inclusive: bool = True
+
+    def restrict(self, comparison: Comparison) -> None:
+        limit, inclusive = comparison.limit, comparison.inclusive
+        if comparison.above and (limit, not inclusive) > (self.low, not self.low_inclusive):
+            self.low = limit
+            self.low_inclusive = inclusive
+        elif not comparison.above and (limit, inclusive) < (self.high, self.high_inclusive):
+            self.high = limit
+            self.high_inclusive = inclusive
+
+    def is_empty(self, min_gap_ratio: float) -> bool:
+        gap = 0.0 if math.isinf(self.high) else self.low - self.high
+        if gap > min_gap_ratio * self.low:
+            return True
+        is_point = gap == 0 and self.low == self.high
+        return is_point and not min_gap_ratio and not (self.low_inclusive and self.high_inclusive)
+
+
+def is_satisfiable(conjunction: Iterable[Comparison], min_gap_ratio: float = 0.0) -> bool:
+    """Returns whether some values of the signals meet all comparisons. Signals are taken as independent.
+
+    :param conjunction: the comparisons
+    :param min_gap_ratio: how far apart two opposite limits have to be to count as a contradiction, as a ratio
+        of the limit
+    """
+    intervals: dict[SignalKey, _Interval] = {}
+    for comparison in conjunction:
+        interval = intervals.get(comparison.key)
+        if interval is None:
+            interval = _Interval(0.0, SIGNALS[comparison.key.signal].upper_bound)
+            intervals[comparison.key] = interval
+        interval.restrict(comparison)
+    return not any(interval.is_empty(min_gap_ratio) for interval in intervals.values())
+
+
+def find_overlap(one: Expression, other: Expression, min_gap_ratio: float = 0.0) -> Conjunction | None:
+    """Returns comparisons of both expressions that can hold at once, or that are closer together than the
+    gap; None if there are none.
+
+    :param one: an expression
+    :param other: another expression
+    :param min_gap_ratio: as for `is_satisfiable`
+    """
+    pairs = itertools.product(disjunctive_normal_form(one), disjunctive_normal_form(other))
+    for left, right in pairs:
+        together = (*left, *right)
+        if is_satisfiable(left) and is_satisfiable(right) and is_satisfiable(together, min_gap_ratio):
+            return together
     return None
 
 
 def implies(one: Expression, other: Expression) -> bool:
-    """Wherever `one` holds, `other` does."""
-    return overlap(one, negation(other)) is None
+    """Returns whether `other` holds wherever `one` does."""
+    return find_overlap(one, negate(other)) is None
 
 
-def ends_in_silence(what: Expression) -> bool:
-    """It can hold while no command comes to an end."""
-    return any(not any(SIGNALS[each.key[0]].sampled for each in together) for together in alternatives(what))
+def can_hold_without_traffic(expression: Expression) -> bool:
+    """Returns whether the expression can hold while no request finishes, so that sampled signals are
+    unknown."""
+    for conjunction in disjunctive_normal_form(expression):
+        if not any(SIGNALS[comparison.key.signal].sampled for comparison in conjunction):
+            return True
+    return False
--- /dev/null
+++ b/lotusstream/levels/outcome_signals.py
@@ -0,0 +1,99 @@
+"""Signals about what becomes of requests: held, late and shed."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+
+from lotusstream import interface as api
+from lotusstream.levels.request_tracker import OpenRequest
+from lotusstream.levels.signals import SignalKey, SignalValue
+from lotusstream.sliding_window import SlidingWindow
+
+BUCKET_COUNT = 16
+
+_Values = dict[SignalKey, SignalValue | None]
+
+
+@dataclass(frozen=True, slots=True)
+class _Sample:
+    """A sum over the requests of one profile."""
+
+    amount: float
+    count: float  # requests
+
+
+class OutcomeSignals:
+    """Counts outcomes by profile and computes the signals."""
+
+    def __init__(
+        self, profiles: tuple[api.Profile, ...], profile_names: tuple[str, ...], window: int
+    ) -> None:
+        """
+        :param profiles: of the deployment
+        :param profile_names: in the same order
+        :param window: that signals are computed over, microseconds
+        """
+        self._profiles = profiles
+        self._profile_names = profile_names
+        self._held = [SlidingWindow(window, BUCKET_COUNT) for _ in profile_names]
+        self._late = [SlidingWindow(window, BUCKET_COUNT) for _ in profile_names]
+        self._shed = [SlidingWindow(window, BUCKET_COUNT) for _ in profile_names]
+
+    def on_hold_ended(self, now: int, request: OpenRequest) -> None:
+        """Counts the time before the first attempt, in latency objectives."""
+        self._held[request.profile].add(now, self._held_ratio(now, request))
+
+    def on_answered(self, now: int, request: OpenRequest) -> None:
+        """Counts a request that was answered, late or not."""
+        self._late[request.profile].add(now, float(now > request.due_at))
+        self._shed[request.profile].add(now, 0.0)
+
+    def on_failed(self, now: int, request: OpenRequest, shed: bool) -> None:
+        """Counts a request that was rejected because of overload (`shed`), or has failed."""
+        self._late[request.profile].add(now, float(not shed))
+        self._shed[request.profile].add(now, float(shed))
+
+    def on_client_disconnected(self, now: int, request: OpenRequest) -> None:
+        """Counts a request whose client left when it was late; one that left before says nothing."""
+        if now >= request.due_at:
+            self._late[request.profile].add(now, 1.0)
+
+    def values(self, now: int, open_requests: Iterable[OpenRequest]) -> _Values:
+        """Returns the signals. Requests that are still held count with the time so far."""
+        values: _Values = {}
+        held = self._held_samples(now, open_requests)
+        self._add_ratios("held", held, [1.0] * len(held), values)
+        weights = [profile.priority_weight for profile in self._profiles]
+        self._add_ratios("late", [_Sample(*window.total(now)) for window in self._late], weights, values)
+        self._add_ratios("shed", [_Sample(*window.total(now)) for window in self._shed], weights, values)
+        return values
+
+    def _held_ratio(self, now: int, request: OpenRequest) -> float:
+        return (now - request.received_at) / self._profiles[request.profile].latency_objective
+
+    def _held_samples(self, now: int, open_requests: Iterable[OpenRequest]) -> list[_Sample]:
+        still_held: dict[int, list[float]] = {}
+        for request in open_requests:
+            if request.is_held:
+                still_held.setdefault(request.profile, []).append(self._held_ratio(now, request))
+        samples = []
+        for index, window in enumerate(self._held):
+            amount, count = window.total(now)
+            ratios = still_held.get(index, [])
+            samples.append(_Sample(amount + sum(ratios), count + len(ratios)))
+        return samples
+
+    def _add_ratios(
+        self, signal: str, samples: Sequence[_Sample], weights: Sequence[float], values: _Values
+    ) -> None:
+        """Adds the mean by profile, and the weighted mean over all."""
+        for sample, name in zip(samples, self._profile_names, strict=True):
+            mean = SignalValue(sample.amount / sample.count, sample.count) if sample.count else None
+            values[SignalKey(signal, name)] = mean
+        weighted = list(zip(samples, weights, strict=True))
+        total_weight = math.fsum(weight * sample.count for sample, weight in weighted)
+        total_amount = math.fsum(weight * sample.amount for sample, weight in weighted)
+        count = sum(sample.count for sample in samples)
+        values[SignalKey(signal)] = SignalValue(total_amount / total_weight, count) if total_weight else None
--- a/lotusstream/levels/signals.py
+++ b/lotusstream/levels/signals.py
@@ -1,29 +1,31 @@
-"""The signals that a ladder may speak of: what each means, its unit, and what it can reach."""
+"""The signals that a ladder's conditions may use: meaning, unit and range of each."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 
-class Unit(Enum):
-    SHARE = "share"  # written 80%
-    TIME = "time"  # microseconds, written 250ms
+class SignalUnit(Enum):
+    """How a signal's values are written in the operator file."""
+
+    SHARE = "share"  # 0.8 is written 80%
+    TIME = "time"  # microseconds; 250_000 is written 250ms
     COUNT = "count"
 
 
 @dataclass(frozen=True, slots=True)
 class Signal:
-    """`highest`: what it can't pass. `by_profile`: may name one, as in late(report). `sampled`: known only
-    while something comes to its end, so that silence leaves it unknown."""
+    """A quantity that conditions may compare with a limit."""
 
     name: str
-    meaning: str
-    unit: Unit = Unit.SHARE
-    highest: float = math.inf
-    by_profile: bool = False
-    sampled: bool = False
+    meaning: str  # for operators
+    unit: SignalUnit = SignalUnit.SHARE
+    upper_bound: float = math.inf  # no value is above it
+    by_profile: bool = False  # a condition may name a profile, as in late(report)
+    sampled: bool = False  # known only while requests finish; unknown without traffic
 
 
 SIGNALS = {
@@ -45,51 +47,59 @@
         Signal(
             "late",
             "share of the benefit that was answered past its latency target, failed, or left by its client",
-            highest=1.0,
+            upper_bound=1.0,
             by_profile=True,
             sampled=True,
         ),
         Signal(
             "shed",
             "share of the benefit that the module shed, without what the level itself does not admit",
-            highest=1.0,
+            upper_bound=1.0,
             by_profile=True,
             sampled=True,
         ),
-        Signal("ready", "cores of usable engines, over the most that were listed lately", highest=1.0),
-        Signal("cold", "cores of engines that still warm up, over the cores of usable ones", highest=1.0),
+        Signal("ready", "cores of usable engines, over the most that were listed lately", upper_bound=1.0),
+        Signal("cold", "cores of engines that still warm up, over the cores of usable ones", upper_bound=1.0),
         Signal(
-            "aside", "cores of listed engines that the module has set aside, over those listed", highest=1.0
+            "aside",
+            "cores of listed engines that the module has set aside, over those listed",
+            upper_bound=1.0,
         ),
-        Signal("core", "the gateway's own use of its core", highest=1.0),
-        Signal("memory", "the gateway's own memory, over its limit", highest=1.0),
-        Signal("descriptors", "the gateway's own descriptors, over their limit", highest=1.0),
-        Signal("stall", "the longest stall of the gateway's loop", unit=Unit.TIME),
-        Signal("asked", "commands asked for in a second", unit=Unit.COUNT, by_profile=True),
+        Signal("core", "the gateway's own use of its core", upper_bound=1.0),
+        Signal("memory", "the gateway's own memory, over its limit", upper_bound=1.0),
+        Signal("descriptors", "the gateway's own descriptors, over their limit", upper_bound=1.0),
+        Signal("stall", "the longest stall of the gateway's loop", unit=SignalUnit.TIME),
+        Signal("asked", "commands asked for in a second", unit=SignalUnit.COUNT, by_profile=True),
     )
 }
 
-Key = tuple[str, str | None]  # a signal's name, and a profile's
+
+class SignalKey(NamedTuple):
+    """A signal, of one profile or of all."""
+
+    signal: str  # its name in SIGNALS
+    profile: str | None = None  # name of the profile; None: all
 
 
 @dataclass(frozen=True, slots=True)
-class Value:
-    """`rests_on`: what it was taken from: commands, sends or engines, as many as there were."""
+class SignalValue:
+    """What a signal was at one evaluation."""
 
-    value: float
-    rests_on: float
+    value: float  # in the unit of the signal
+    sample_count: float  # requests, attempts or endpoints that it was computed from
 
 
-def spelled(key: Key) -> str:
-    return key[0] if key[1] is None else f"{key[0]}({key[1]})"
+def format_key(key: SignalKey) -> str:
+    """Returns the key as the operator file has it, like late(report)."""
+    return key.signal if key.profile is None else f"{key.signal}({key.profile})"
 
 
-def written(value: float, unit: Unit) -> str:
-    """As the operator file has it."""
+def format_value(value: float, unit: SignalUnit) -> str:
+    """Returns the value as the operator file has it, like 80%."""
     match unit:
-        case Unit.SHARE:
+        case SignalUnit.SHARE:
             return f"{value * 100:.4g}%"
-        case Unit.TIME:
+        case SignalUnit.TIME:
             return f"{value / 1e6:.4g}s" if value >= 1e6 else f"{value / 1e3:.4g}ms"
-        case Unit.COUNT:
+        case SignalUnit.COUNT:
             return f"{value:.4g}"
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -13,13 +13,19 @@
 from lotusstream.cells.controller import CellController
 from lotusstream.cells.messages import AbortMigration, MigrateTenant, PlanReplaced
 from lotusstream.cells.migration import IRREVERSIBLE_STEPS
-from lotusstream.levels.controller import Hold, LevelController, NewLadder, Release
-from lotusstream.levels.history import Cause, Change
-from lotusstream.levels.signal_evaluator import Health
+from lotusstream.levels.controller import LevelController
+from lotusstream.levels.history import ChangeCause
+from lotusstream.levels.messages import (
+    GatewayHealthMeasured,
+    HoldRequested,
+    LadderReplaced,
+    ReleaseRequested,
+)
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.clock import Clock
 from lotusstream.net.connection import US
 from lotusstream.net.control import ControlLimits, ControlRejectedError, ControlServer
+from lotusstream.net.control_views import cells_view, levels_view
 from lotusstream.net.decider import Decider
 from lotusstream.net.decider_messages import BatchDue, OperatorView, SubsystemEvent, ViewRequested
 from lotusstream.observe.own import OwnUse, OwnUseReader
@@ -66,7 +72,7 @@
     async def feed(self) -> None:
         """Ticks for the keeper, with the gateway's own use and the loop's stall."""
         keeper = self._keeper
-        pause = keeper.every / US if keeper else TICK
+        pause = keeper.evaluation_interval / US if keeper else TICK
         while True:
             before = time.monotonic()
             await asyncio.sleep(pause)
@@ -75,7 +81,9 @@
                 self._decider.post(BatchDue())
                 continue
             use = self._use()
-            self._decider.post(SubsystemEvent(Health(use.core, use.memory, use.descriptors, max(0, stall))))
+            self._decider.post(
+                SubsystemEvent(GatewayHealthMeasured(use.core, use.memory, use.descriptors, max(0, stall)))
+            )
             self._log_changes(keeper)
 
     def _use(self) -> OwnUse:
@@ -89,8 +97,8 @@
         self._logged = keeper.history.count
         for change in list(keeper.history)[len(keeper.history) - min(new, len(keeper.history)) :]:
             self._supervisor.counters.add("level changes")
-            worse = change.rung > 0 and change.cause in (Cause.SIGNALS, Cause.LOST_CORES)
-            readings = {reading.signal: reading.written for reading in change.readings}
+            worse = change.step > 0 and change.cause in (ChangeCause.SIGNALS, ChangeCause.LOST_CORES)
+            readings = {reading.signal: reading.text for reading in change.readings}
             self._supervisor.log.write(
                 "level",
                 str(change),
@@ -102,14 +110,14 @@
                 signals=readings,
                 ends_when=change.ends_when,
             )
-        if keeper.failed is not None:
-            self._supervisor.failed("keeper of levels", keeper.failed)
-            keeper.failed = None
+        if keeper.error is not None:
+            self._supervisor.failed("keeper of levels", keeper.error)
+            keeper.error = None
 
     def reload(self, new: OperatorFile) -> None:
         self.file = new
         if new.ladder is not None and self._keeper is not None:
-            self._decider.post(SubsystemEvent(NewLadder(new.ladder)))
+            self._decider.post(SubsystemEvent(LadderReplaced(new.ladder)))
         if new.cells is not None and self._cells is not None:
             deployment = self._given.deployment
             self._decider.post(
@@ -131,7 +139,7 @@
             case wire.CountersAsked():
                 return self._supervisor.counters.as_mapping()
             case wire.HoldLevel(level, span):
-                return await self._hold(Hold(level, span))
+                return await self._hold(HoldRequested(level, span))
             case wire.ReleaseLevel():
                 return await self._release()
             case wire.Cells(tenant):
@@ -179,7 +187,7 @@
             "gateway": self._name,
             "version": __version__,
             "up_us": now - self._started,
-            "level": self._keeper.standing(now).level if self._keeper else None,
+            "level": self._keeper.status().level if self._keeper else None,
             "level_why": self._why() if self._keeper else None,
             "engines": {
                 "listed": len(believed.endpoints),
@@ -200,28 +208,13 @@
         latest = self._keeper.history.latest()
         return str(latest) if latest else "full service since the start"
 
-    def _levels(self, history: int) -> dict[str, Any]:
+    def _levels(self, max_changes: int) -> dict[str, Any]:
         if self._keeper is None:
             raise ControlRejectedError(
                 "absent", "the operator file has no ladder: add one, and start the gateway anew"
             )
-        now = self._clock.now()
-        standing = self._keeper.standing(now)
-        told = dataclasses.asdict(standing)
-        told["why"] = self._change(standing.why) if standing.why else None
-        told["now"] = now
-        told["signals"] = [
-            {"signal": name, "written": text, "value": value.value if value else None,
-             "rests_on": value.rests_on if value else 0}
-            for name, value, text in standing.signals
-        ]  # fmt: skip
-        kept = list(self._keeper.history)
-        told["history"] = [self._change(change) for change in kept[max(0, len(kept) - max(0, history)) :]]
-        return told
-
-    @staticmethod
-    def _change(change: Change) -> dict[str, Any]:
-        return dataclasses.asdict(change) | {"cause": change.cause.value, "text": str(change)}
+        status, history = self._keeper.status(), self._keeper.history
+        return levels_view(self._clock.now(), status, history, max_changes)
 
     @staticmethod
     def _engines(view: OperatorView) -> list[dict[str, Any]]:
@@ -251,17 +244,17 @@
         shown = [dataclasses.asdict(command) for command in oldest[: max(0, most)]]
         return {"open": len(view.requests), "shown": shown}
 
-    async def _hold(self, hold: Hold) -> dict[str, Any]:
+    async def _hold(self, hold: HoldRequested) -> dict[str, Any]:
         if self._keeper is None:
             raise ControlRejectedError("absent", "the operator file has no ladder: no level can be held")
-        if (why := self._keeper.refuses(hold)) is not None:
+        if (why := self._keeper.hold_refusal(hold)) is not None:
             raise ControlRejectedError("unknown", why)
         return await self._by_hand(hold)
 
     async def _release(self) -> dict[str, Any]:
-        if self._keeper is None or self._keeper.standing(self._clock.now()).held_until is None:
+        if self._keeper is None or self._keeper.status().held_until is None:
             raise ControlRejectedError("absent", "no level is held")
-        return await self._by_hand(Release())
+        return await self._by_hand(ReleaseRequested())
 
     def _kept(self) -> CellController:
         if self._cells is None:
@@ -271,32 +264,12 @@
         return self._cells
 
     def _cells_told(self, tenant: str | None) -> dict[str, Any]:
-        keeper, names = self._kept(), self._given.deployment.profiles
-        standing = keeper.status()
-        told: dict[str, Any] = {
-            "now": self._clock.now(),
-            "version": standing.plan_version,
-            "held": standing.held_requests,
-            "poisoned": list(standing.poisoned_tenants),
-            "homeless": [each.decode("latin-1") for each in standing.unassigned],
-            "moves": [dataclasses.asdict(move) | {"step": move.step.value} for move in standing.migrations],
-            "cells": [
-                {
-                    "name": cell.name,
-                    "engines": [each.decode("latin-1") for each in cell.endpoint_ids],
-                    "ready": cell.ready_endpoints,
-                    "commands": cell.open_requests,
-                    "tenants": cell.open_tenants,
-                    "unserved": [names[at] for at in cell.unserved_profiles],
-                    "lender": cell.lender,
-                    "quarantine": cell.quarantine,
-                }
-                for cell in standing.cells
-            ],
-        }
+        controller = self._kept()
+        view = cells_view(self._clock.now(), controller.status(), self._given.deployment.profiles)
         if tenant is not None:
-            told["tenant"], told["home"] = tenant, keeper.plan.cell_name_of(tenant)
-        return told
+            view["tenant"] = tenant
+            view["home"] = controller.plan.cell_name_of(tenant)
+        return view
 
     async def _move(self, tenant: str, cell: str, dry_run: bool) -> dict[str, Any]:
         if (why := self._kept().migration_refusal(self._clock.now(), tenant, cell)) is not None:
@@ -314,7 +287,7 @@
         await self._view()
         return self._cells_told(tenant)
 
-    async def _by_hand(self, event: Hold | Release) -> dict[str, Any]:
+    async def _by_hand(self, event: HoldRequested | ReleaseRequested) -> dict[str, Any]:
         self._decider.post(SubsystemEvent(event))
         await self._view()  # has been told by then: the mailbox keeps its order
         return self._levels(1)
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -146,7 +146,7 @@
         )
 
     def beside(self, module: DecisionModule) -> DecisionModule:
-        from lotusstream.levels.controller import LevelAdmission
+        from lotusstream.levels.admission import LevelAdmission
 
         return LevelAdmission(module.handle, self.keeper)
 
--- a/lotusstream/operator/file.py
+++ b/lotusstream/operator/file.py
@@ -6,8 +6,15 @@
 from pathlib import Path
 
 from lotusstream.interface import RetriesAllowed
-from lotusstream.levels.condition import Compare
-from lotusstream.levels.ladder import FULL_SERVICE, Ladder, LadderError, Level, Start, unsound, unsound_for
+from lotusstream.levels.condition import Comparison
+from lotusstream.levels.ladder import (
+    FULL_SERVICE,
+    InitialLevel,
+    Ladder,
+    Level,
+)
+from lotusstream.levels.ladder_check import LadderProblem, find_ladder_problems, find_profile_problems
+from lotusstream.levels.signals import SignalKey
 from lotusstream.operator.cells import CellsText, DeploymentContext, cells_of, unfit_cells
 from lotusstream.operator.fleet import MIGRATION_TASK, FleetSettings, gateway_problems, read_fleet_settings
 from lotusstream.operator.problems import OperatorFileError, Problem
@@ -17,7 +24,7 @@
 
 SECOND = 1_000_000
 QUIET, WINDOW, RAMP, LOST = 30 * SECOND, 10 * SECOND, 20 * SECOND, 0.1
-ROOM = Compare(("used", None), above=False, limit=0.85)
+ROOM = Comparison(SignalKey("used"), above=False, limit=0.85)
 LONGEST_FILE = 1 << 20
 
 
@@ -57,7 +64,8 @@
         found = []
         if self.ladder is not None:
             found += [
-                _placed(self.path, self.root, each) for each in unsound_for(self.ladder, around.profiles)
+                _placed(self.path, self.root, each)
+                for each in find_profile_problems(self.ladder, around.profiles)
             ]
         if self.cells is not None and (block := self.root.one("cells")) is not None:
             found += unfit_cells(self.path, block, self.cells, around)
@@ -96,7 +104,7 @@
     if block is not None and not any(_within(block, problem, text) for problem in problems):
         problems += _limits(path, block)
         ladder = _ladder(block)
-        problems += [_placed(path, root, each) for each in unsound(ladder)]
+        problems += [_placed(path, root, each) for each in find_ladder_problems(ladder)]
     cells = None
     block = root.one("cells")
     if block is not None and not any(_within(block, problem, text) for problem in problems):
@@ -166,12 +174,12 @@
     ramp, start = block.one("ramp"), block.one("start")
     return Ladder(
         levels=tuple(_level(node) for node in block.all("level")),
-        quiet=block.value("quiet", "a time", QUIET),
+        min_interval=block.value("quiet", "a time", QUIET),
         window=block.value("window", "a time", WINDOW),
-        ramp=ramp.values["a time"] if ramp else RAMP,
-        ramp_while=ramp.condition.what if ramp and ramp.condition else ROOM,
-        lost=block.value("lost", "a share", LOST),
-        start=Start(start.values["a level"], start.values["a time"]) if start else None,
+        ramp_time=ramp.values["a time"] if ramp else RAMP,
+        ramp_condition=ramp.condition.expression if ramp and ramp.condition else ROOM,
+        lost_cores_ratio=block.value("lost", "a share", LOST),
+        initial=InitialLevel(start.values["a level"], start.values["a time"]) if start else None,
     )
 
 
@@ -183,24 +191,24 @@
         name=node.values["a name"],
         enter=enter.condition,
         leave=leave.condition,
-        stay=node.value("stay", "a time", 0),
+        min_time=node.value("stay", "a time", 0),
         admit={each.values["a profile"]: each.values["a share"] for each in node.all("admit")},
-        further=RetriesAllowed(node.value("further", "all, unrun or none", RetriesAllowed.ALL.value)),
-        advice=node.value("advice", "a time"),
+        retries_allowed=RetriesAllowed(node.value("further", "all, unrun or none", RetriesAllowed.ALL.value)),
+        max_retry_after=node.value("advice", "a time"),
         priorities={each.values["a profile"]: each.values["a priority"] for each in node.all("priority")},
-        formerly=node.value("formerly", "a name"),
+        former_name=node.value("formerly", "a name"),
         despite_benefit=node.one("despite-benefit") is not None,
     )
 
 
-def _placed(path: str, root: Node, found: LadderError) -> Problem:
+def _placed(path: str, root: Node, found: LadderProblem) -> Problem:
     block = root.one("ladder")
     assert block is not None
     at = block
     if found.level is not None:
         at = next(node for node in block.all("level") if node.values["a name"] == found.level)
     at = at.one(found.directive) or at
-    return Problem(path, at.line, at.column, found.what, found.hint)
+    return Problem(path, at.line, at.column, found.message, found.hint)
 
 
 def fixed_differences(now: OperatorFile, new: OperatorFile) -> list[str]:
--- a/lotusstream/operator/grammar.py
+++ b/lotusstream/operator/grammar.py
@@ -10,7 +10,7 @@
 from lark import Lark, Token, Transformer, UnexpectedCharacters, UnexpectedInput, v_args
 
 from lotusstream.levels import condition as logic
-from lotusstream.levels.signals import SIGNALS, Unit
+from lotusstream.levels.signals import SIGNALS, SignalKey, SignalUnit
 from lotusstream.operator import units
 from lotusstream.operator.problems import Problem, nearest
 
@@ -134,10 +134,10 @@
         return logic.Condition(what, units.parse_time(dwell[1]) if dwell else 0)
 
     def any(self, *parts: Any) -> logic.Expression:
-        return logic.Any(tuple(part for part in parts if not isinstance(part, Token)))
+        return logic.AnyOf(tuple(part for part in parts if not isinstance(part, Token)))
 
     def all(self, *parts: Any) -> logic.Expression:
-        return logic.All(tuple(part for part in parts if not isinstance(part, Token)))
+        return logic.AllOf(tuple(part for part in parts if not isinstance(part, Token)))
 
     def signal(self, name: Token, *of: Token) -> tuple[Token, Token | None]:
         return name, of[0] if of else None
@@ -145,21 +145,21 @@
     def limit(self, token: Token) -> Token:
         return token
 
-    def comparison(self, signal: tuple[Token, Token | None], sign: Token, limit: Token) -> logic.Compare:
+    def comparison(self, signal: tuple[Token, Token | None], sign: Token, limit: Token) -> logic.Comparison:
         name, of = signal
         known = SIGNALS.get(name)
         if known is None:
             raise _Misread(name.column or 1, f"no signal is called '{name}'", nearest(name, SIGNALS))
         if of is not None and not known.by_profile:
             raise _Misread(of.column or 1, f"{name} is not told by profile", f"write {name} alone")
-        wanted = {Unit.SHARE: "SHARE", Unit.TIME: "TIME", Unit.COUNT: "NUMBER"}[known.unit]
+        wanted = {SignalUnit.SHARE: "SHARE", SignalUnit.TIME: "TIME", SignalUnit.COUNT: "NUMBER"}[known.unit]
         if limit.type != wanted:
             raise _Misread(limit.column or 1, f"found '{limit}'", f"{name} is held against {SPOKEN[wanted]}")
         readers: dict[str, Callable[[str], float]]
         readers = {"SHARE": units.parse_share, "TIME": units.parse_time, "NUMBER": float}
         value = readers[wanted](limit)
-        key = (str(name), str(of) if of is not None else None)
-        return logic.Compare(key, sign.startswith(">"), value, sign.endswith("="))
+        key = SignalKey(str(name), str(of) if of is not None else None)
+        return logic.Comparison(key, sign.startswith(">"), value, sign.endswith("="))
 
 
 def read_condition(text: str, path: str, number: int, ahead: int) -> logic.Condition | Problem:
--- a/tests/levels/rig.py
+++ b/tests/levels/rig.py
@@ -7,9 +7,9 @@
 from dataclasses import replace
 
 from lotusstream import interface as api
-from lotusstream.levels.controller import KeeperEvent, LevelController
+from lotusstream.levels.controller import LevelController
 from lotusstream.levels.ladder import Ladder
-from lotusstream.levels.signal_evaluator import Health
+from lotusstream.levels.messages import GatewayHealthMeasured, LevelEvent
 from lotusstream.operator.file import read_operator_file
 
 MS, S = 1_000, 1_000_000
@@ -90,7 +90,7 @@
         self.engines: tuple[api.EndpointSnapshot, ...] = FLEET
         self.told: list[api.DegradationChanged] = []
 
-    def tell(self, event: api.Event | api.Action | KeeperEvent) -> None:
+    def tell(self, event: api.Event | api.Action | LevelEvent) -> None:
         for answer in self.keeper.handle(self.now, event):
             if isinstance(answer, api.SnapshotRequested):
                 self.keeper.handle(self.now, api.GatewaySnapshot(self.engines, 1.0, 1.0, False, 0, 0))
@@ -144,25 +144,25 @@
 
     @property
     def level(self) -> str:
-        return self.keeper.standing(self.now).level
+        return self.keeper.status().level
 
     @property
     def admitted(self) -> float:
-        return self.keeper.standing(self.now).admitted["lookup"]
+        return self.keeper.status().admitted_ratios["lookup"]
 
     def signal(self, name: str) -> float | None:
         return next(
-            (value.value if value else None)
-            for key, value, _ in self.keeper.standing(self.now).signals
-            if key == name
+            (signal.value.value if signal.value else None)
+            for signal in self.keeper.status().signals
+            if signal.name == name
         )
 
     def changes(self) -> list[int]:
-        return [change.at for change in self.keeper.history]
+        return [change.changed_at for change in self.keeper.history]
 
 
 def most_within(times: list[int], span: int) -> int:
     return max((sum(at <= other < at + span for other in times) for at in times), default=0)
 
 
-HEALTHY = Health(0.1, 0.1, 0.1, 0)
+HEALTHY = GatewayHealthMeasured(0.1, 0.1, 0.1, 0)
--- a/tests/levels/test_fleet.py
+++ b/tests/levels/test_fleet.py
@@ -34,7 +34,7 @@
     assert recovered < 40 + 60 and min(served[recovered:70]) > 0.7
     ups = [
         change
-        for change in module.keeper.history
-        if change.rung and change.at > 40 * S and change.cause.value != "hold ended"
+        for change in module.controller.history
+        if change.step and change.changed_at > 40 * S and change.cause.value != "hold ended"
     ]
-    assert all(change.rung < 3 for change in ups)
+    assert all(change.step < 3 for change in ups)
--- a/tests/levels/test_keeper.py
+++ b/tests/levels/test_keeper.py
@@ -15,9 +15,15 @@
 from rig import FLEET, LADDER, MS, Rig, S, belief, ladder, most_within, started
 
 from lotusstream import interface as api
-from lotusstream.levels.controller import Hold, LevelAdmission, LevelController, NewLadder, Release
-from lotusstream.levels.history import Cause
-from lotusstream.levels.signal_evaluator import Health
+from lotusstream.levels.admission import LevelAdmission
+from lotusstream.levels.controller import LevelController
+from lotusstream.levels.history import ChangeCause
+from lotusstream.levels.messages import (
+    GatewayHealthMeasured,
+    HoldRequested,
+    LadderReplaced,
+    ReleaseRequested,
+)
 from lotusstream.policy import Gateway
 
 SHAPES: dict[str, Callable[[float], Callable[[float], float]]] = {
@@ -38,8 +44,8 @@
 
 def test_a_level_is_entered_by_its_condition_and_says_why_and_what_would_end_it() -> None:
     rig = Rig().flow(12, 0.5).flow(12, 1.5)
-    why = rig.keeper.standing(rig.now).why
-    assert rig.level == "trimmed" and why is not None and why.cause is Cause.SIGNALS
+    why = rig.keeper.status().last_change
+    assert rig.level == "trimmed" and why is not None and why.cause is ChangeCause.SIGNALS
     assert why.condition == "load > 120% for 3s" and why.ends_when == "load < 100% for 5s"
     assert [reading.signal for reading in why.readings] == ["load"] and why.readings[0].value > 1.2
     assert rig.told[0].admitted_ratios == (0.6, 1.0) and rig.told[0].priorities == (None, None)
@@ -57,7 +63,7 @@
 
 
 def test_lost_engines_permit_a_step_up_soon_after_another_change_and_jammed_ones_do_not() -> None:
-    def second_change(seen_to_go: bool) -> list[Cause]:
+    def second_change(seen_to_go: bool) -> list[ChangeCause]:
         rig = Rig().rises("trimmed")
         if seen_to_go:
             ended = api.AttemptEnded(
@@ -68,7 +74,9 @@
         rig.flow(8, 1.7)
         return [change.cause for change in rig.keeper.history][1:]
 
-    assert second_change(seen_to_go=True) == [Cause.LOST_CORES] and second_change(seen_to_go=False) == []
+    assert (
+        second_change(seen_to_go=True) == [ChangeCause.LOST_CORES] and second_change(seen_to_go=False) == []
+    )
 
 
 def test_the_way_down_is_one_rung_at_a_time_and_admission_grows_by_and_by() -> None:
@@ -138,7 +146,7 @@
 
 def test_the_gateways_own_health_is_a_signal_while_it_is_fresh() -> None:
     rig = Rig()
-    rig.tell(Health(0.9, 0.5, None, 20 * MS))
+    rig.tell(GatewayHealthMeasured(0.9, 0.5, None, 20 * MS))
     rig.flow(1, 0.1)
     assert (rig.signal("core"), rig.signal("descriptors"), rig.signal("stall")) == (0.9, None, 20 * MS)
     assert rig.flow(10, 0.1).signal("core") is None
@@ -152,42 +160,44 @@
     ):
         rig = Rig().rises("lifeline")
         assert rig.level == "lifeline"
-        rig.tell(Hold("lifeline", 600 * S))
-        rig.tell(NewLadder(ladder(text)))
-        held = rig.keeper.standing(rig.now).held_until
+        rig.tell(HoldRequested("lifeline", 600 * S))
+        rig.tell(LadderReplaced(ladder(text)))
+        held = rig.keeper.status().held_until
         assert rig.level == level and (held is None) == (level == "trimmed")
-        assert list(rig.keeper.history)[-1].cause is Cause.RELOAD
+        assert list(rig.keeper.history)[-1].cause is ChangeCause.RELOAD
         rig.flow(5, 1.7)
         assert rig.level == level  # no change follows a change
 
 
 def test_a_hold_by_hand_lasts_its_time_and_the_signals_decide_from_there() -> None:
     rig = Rig().flow(12, 0.3)
-    rig.tell(Hold("lifeline", 60 * S))
+    rig.tell(HoldRequested("lifeline", 60 * S))
     assert rig.level == "lifeline" and rig.admitted == 0.1
     rig.flow(59, 0.3)
     assert rig.level == "lifeline" and rig.admitted == 0.1  # as written: it does not grow
     rig.flow(3, 0.3)
-    assert rig.keeper.standing(rig.now).held_until is None and rig.level == "lifeline"
+    assert rig.keeper.status().held_until is None and rig.level == "lifeline"
     rig.flow(100, 0.3)
     assert [change.cause for change in rig.keeper.history] == [
-        Cause.HAND, Cause.HOLD_ENDED, Cause.SIGNALS, Cause.SIGNALS,
+        ChangeCause.HAND, ChangeCause.HOLD_ENDED, ChangeCause.SIGNALS, ChangeCause.SIGNALS,
     ]  # fmt: skip
     assert rig.level == "full"
 
 
 def test_full_service_can_be_held_against_the_signals_and_released() -> None:
     rig = Rig().flow(12, 0.5)
-    rig.tell(Hold("full", 3600 * S))
+    rig.tell(HoldRequested("full", 3600 * S))
     assert rig.flow(60, 3.0).level == "full"
-    rig.tell(Release())
+    rig.tell(ReleaseRequested())
     assert rig.flow(40, 3.0).level == "lifeline"
 
 
-@pytest.mark.parametrize("hold", [Hold("nosuch", S), Hold("trimmed", 0), Hold("trimmed", 25 * 3600 * S)])
-def test_a_hold_that_makes_no_sense_changes_nothing(hold: Hold) -> None:
+@pytest.mark.parametrize(
+    "hold", [HoldRequested("nosuch", S), HoldRequested("trimmed", 0), HoldRequested("trimmed", 25 * 3600 * S)]
+)
+def test_a_hold_that_makes_no_sense_changes_nothing(hold: HoldRequested) -> None:
     rig = Rig().flow(12, 0.5)
-    assert rig.keeper.refuses(hold) and not rig.keeper.refuses(Hold("trimmed", S))
+    assert rig.keeper.hold_refusal(hold) and not rig.keeper.hold_refusal(HoldRequested("trimmed", S))
     rig.tell(hold)
     assert rig.level == "full" and not rig.changes()
 
@@ -206,7 +216,7 @@
     told = len(rig.told)
     rig.tell(api.ShutdownStarted(rig.now + 3 * S))
     rig.flow(60, 0.0)
-    assert rig.level == "trimmed" and len(rig.told) == told and rig.keeper.standing(rig.now).stopping
+    assert rig.level == "trimmed" and len(rig.told) == told and rig.keeper.status().stopping
 
 
 def test_one_clients_flood_for_a_moment_is_no_level_and_a_lasting_one_leaves_reports_alone() -> None:
@@ -229,16 +239,16 @@
 def test_a_keeper_that_fails_leaves_the_module_at_full_service(monkeypatch: pytest.MonkeyPatch) -> None:
     beside = LevelAdmission(Gateway().handle, LevelController(ladder(), started(), ("lookup", "report")))
     beside.handle(S, started())
-    beside.handle(S, Hold("lifeline", 600 * S))
+    beside.handle(S, HoldRequested("lifeline", 600 * S))
     refused = [
         beside.handle(S, api.RequestReceived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(20)
     ]
     assert any(
         isinstance(action, api.RejectRequest) and action.degraded for actions in refused for action in actions
     )
-    monkeypatch.setattr(beside.keeper._gauge, "saw", lambda *_: 1 / 0)
+    monkeypatch.setattr(beside.controller._evaluator, "observe", lambda *_: 1 / 0)
     beside.handle(2 * S, api.RequestReceived(90, 0, WORK_HINT, None, 6 * S, 1, None))
-    assert isinstance(beside.keeper.failed, ZeroDivisionError)
+    assert isinstance(beside.controller.error, ZeroDivisionError)
     later = [
         beside.handle(2 * S, api.RequestReceived(n, 0, WORK_HINT, None, 6 * S, 1, None))
         for n in range(100, 200)
@@ -249,11 +259,11 @@
 def test_a_module_that_began_anew_is_told_the_level_in_force() -> None:
     keeper = LevelController(ladder(), started(), ("lookup", "report"))
     LevelAdmission(Gateway().handle, keeper).handle(S, started())
-    keeper.handle(S, Hold("lifeline", 600 * S))
+    keeper.handle(S, HoldRequested("lifeline", 600 * S))
     keeper.handle(S, api.RequestReceived(900, 1, WORK_HINT, None, 25 * S, 1, None))
     anew = LevelAdmission(Gateway().handle, keeper)
     anew.handle(S, started())
-    assert not keeper._gauge._open  # what was open has failed: it would count as held for ever
+    assert not keeper._evaluator._requests._open  # what was open has failed: it would count as held for ever
     shed = [anew.handle(S, api.RequestReceived(n, 0, WORK_HINT, None, 6 * S, 1, None)) for n in range(50)]
     assert sum(any(isinstance(a, api.RejectRequest) and a.degraded for a in actions) for actions in shed) > 35
 
@@ -275,8 +285,8 @@
     rig.flow(150, 0.2)
     changes = list(rig.keeper.history)
     for earlier, later in itertools.pairwise(changes):
-        assert later.at - earlier.at >= 30 * S or later.cause is Cause.LOST_CORES
-        assert later.rung >= earlier.rung - 1
+        assert later.changed_at - earlier.changed_at >= 30 * S or later.cause is ChangeCause.LOST_CORES
+        assert later.step >= earlier.step - 1
     assert rig.level == "full" and rig.admitted == 1.0
 
 
@@ -284,7 +294,7 @@
 @given(st.floats(0, 3), st.floats(0, 3), st.integers(0, 100))
 def test_more_load_never_ends_in_a_lower_level(one: float, other: float, seed: int) -> None:
     less, more = sorted((one, other))
-    low, high = (Rig(seed=seed).flow(100, load).keeper.standing(0).rung for load in (less, more))
+    low, high = (Rig(seed=seed).flow(100, load).keeper.status().step for load in (less, more))
     assert low <= high
 
 
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -10,10 +10,16 @@
 from hypothesis import strategies as st
 
 from lotusstream import interface as api
-from lotusstream.levels.condition import All as Both
-from lotusstream.levels.condition import Any as Either
-from lotusstream.levels.condition import Compare, Condition, alternatives, overlap, truth
-from lotusstream.levels.signals import Key, Value
+from lotusstream.levels.condition import AllOf as Both
+from lotusstream.levels.condition import AnyOf as Either
+from lotusstream.levels.condition import (
+    Comparison,
+    Condition,
+    disjunctive_normal_form,
+    evaluate,
+    find_overlap,
+)
+from lotusstream.levels.signals import SignalKey, SignalValue
 from lotusstream.operator import units
 from lotusstream.operator.cells import DeploymentContext
 from lotusstream.operator.file import OperatorFile, fixed_differences, load_operator_file, read_operator_file
@@ -48,7 +54,7 @@
     found = load_operator_file(str(SHIPPED))
     assert found.ladder is not None and found.control is not None and found.log is not None
     assert [each.name for each in found.ladder.levels] == ["trimmed", "reports-first", "lifeline"]
-    assert found.ladder.levels[0].admit == {"lookup": 0.75} and found.ladder.quiet == 30 * S
+    assert found.ladder.levels[0].admit == {"lookup": 0.75} and found.ladder.min_interval == 30 * S
 
 
 def test_the_shipped_cells_are_read_whole() -> None:
@@ -229,9 +235,9 @@
     assert units.parse_time(units.write_time(span)) == span
 
 
-KEYS: list[Key] = [("load", None), ("held", None), ("late", None)]
+KEYS: list[SignalKey] = [SignalKey("load"), SignalKey("held"), SignalKey("late")]
 COMPARISONS = st.builds(
-    Compare, st.sampled_from(KEYS), st.booleans(), st.sampled_from([0.0, 0.5, 1.0]), st.booleans()
+    Comparison, st.sampled_from(KEYS), st.booleans(), st.sampled_from([0.0, 0.5, 1.0]), st.booleans()
 )
 EXPRESSIONS = st.recursive(
     COMPARISONS, lambda inner: st.lists(inner, min_size=1, max_size=3).flatmap(
@@ -242,27 +248,27 @@
 
 @given(EXPRESSIONS, EXPRESSIONS, STATES)
 def test_a_ladder_that_is_found_sound_has_no_state_that_enters_and_leaves(
-    enter: Condition, leave: Condition, state: dict[Key, float]
+    enter: Condition, leave: Condition, state: dict[SignalKey, float]
 ) -> None:
-    values = {key: Value(value, 1) for key, value in state.items()}
-    both = truth(enter, values) and truth(leave, values)  # type: ignore[arg-type]
-    assert not (both and overlap(enter, leave) is None)  # type: ignore[arg-type]
+    values = {key: SignalValue(value, 1) for key, value in state.items()}
+    both = evaluate(enter, values) and evaluate(leave, values)  # type: ignore[arg-type]
+    assert not (both and find_overlap(enter, leave) is None)  # type: ignore[arg-type]
 
 
 @given(EXPRESSIONS, STATES)
 def test_a_condition_holds_where_one_of_its_alternatives_does(
-    what: Condition, state: dict[Key, float]
+    what: Condition, state: dict[SignalKey, float]
 ) -> None:
-    values = {key: Value(value, 1) for key, value in state.items()}
-    forms = alternatives(what)  # type: ignore[arg-type]
-    assert truth(what, values) == any(all(each.truth(values) for each in form) for form in forms)  # type: ignore[arg-type]
+    values = {key: SignalValue(value, 1) for key, value in state.items()}
+    forms = disjunctive_normal_form(what)  # type: ignore[arg-type]
+    assert evaluate(what, values) == any(all(each.evaluate(values) for each in form) for form in forms)  # type: ignore[arg-type]
 
 
 def test_an_unknown_signal_makes_nothing_true_and_spoils_nothing_that_is() -> None:
-    load, late = Compare(("load", None), True, 1.0), Compare(("late", None), True, 0.1)
-    values = {("load", None): Value(2.0, 5), ("late", None): None}
-    assert truth(Either((late, load)), values) is True and truth(Both((late, load)), values) is None
-    assert truth(Both((late, load.opposite())), values) is False
+    load, late = Comparison(SignalKey("load"), True, 1.0), Comparison(SignalKey("late"), True, 0.1)
+    values = {SignalKey("load"): SignalValue(2.0, 5), SignalKey("late"): None}
+    assert evaluate(Either((late, load)), values) is True and evaluate(Both((late, load)), values) is None
+    assert evaluate(Both((late, load.negate())), values) is False
 
 
 FLEET = """fleet
