--- a/lotusstream/interface/events.py
+++ b/lotusstream/interface/events.py
@@ -75,8 +75,8 @@
     work: int | None  # thread microseconds that it took, where the endpoint reports them
     memory_mb: float | None  # that it took, where the endpoint reports it
     report: LoadReport | None
-    endpoint_responded: bool  # the last thing known here of the endpoint is an answer, of whatever kind;
-    # so a reset ended a connection and not the endpoint
+    # the last thing known of the endpoint is an answer of any kind, so a reset ended a connection only
+    endpoint_responded: bool
 
 
 @dataclass(frozen=True, slots=True)
