--- a/tests/cells/test_moves.py
+++ b/tests/cells/test_moves.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import LOOKUP, MS, S, engine
+from conftest import LOOKUP, MS, S, endpoint_entry
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -60,7 +60,12 @@
     return replace(made, **changes)  # type: ignore[arg-type]
 
 
-FLEET = (engine(1, kind=1), engine(2), engine(3, zone=1, kind=1), engine(4, zone=1))
+FLEET = (
+    endpoint_entry(1, kind=1),
+    endpoint_entry(2),
+    endpoint_entry(3, zone=1, kind=1),
+    endpoint_entry(4, zone=1),
+)
 TERMS = migration_timing(PROFILES, hold_timeout=2 * S, drain_timeout=20 * S)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -136,14 +136,14 @@
         ]
 
 
-def engine(name: int, **changes: object) -> api.EndpointEntry:
+def endpoint_entry(name: int, **changes: object) -> api.EndpointEntry:
     return replace(api.EndpointEntry(bytes([name] * 6), api.EndpointStatus.READY, 0, 0, 0, 0), **changes)
 
 
 @pytest.fixture
 def host() -> PolicyHost:
     made = PolicyHost()
-    made.list_endpoints(engine(1), engine(2), engine(3))
+    made.list_endpoints(endpoint_entry(1), endpoint_entry(2), endpoint_entry(3))
     return made
 
 
--- a/tests/fleet/test_overloaded_endpoint.py
+++ b/tests/fleet/test_overloaded_endpoint.py
@@ -1,7 +1,7 @@
 """An endpoint that is overloaded by what all gateways sent there, as one of them sees it."""
 
 import pytest
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import Outcome, ProgressKind
@@ -11,7 +11,7 @@
 def host() -> PolicyHost:
     """One of 200 gateways; endpoints report progress every 2 s."""
     host = PolicyHost(gateway_count=200, progress_interval=2 * S)
-    host.list_endpoints(*(engine(name) for name in range(1, 13)))
+    host.list_endpoints(*(endpoint_entry(name) for name in range(1, 13)))
     return host
 
 
--- a/tests/fleet/test_placement_of_many.py
+++ b/tests/fleet/test_placement_of_many.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from conftest import LOAD, LOOKUP, MS, PROFILES, RESTRICTED, PolicyHost, S, engine
+from conftest import LOAD, LOOKUP, MS, PROFILES, RESTRICTED, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import Outcome
@@ -25,7 +25,7 @@
     counts: Counter[api.EndpointId] = Counter()
     for number in range(720):
         host = PolicyHost(seed=number, gateway_count=200)
-        host.list_endpoints(*(engine(1, id=name) for name in ENDPOINT_IDS))
+        host.list_endpoints(*(endpoint_entry(1, id=name) for name in ENDPOINT_IDS))
         request = host.receive(group=7 * number)
         counts[host.attempts(request)[0].endpoint_id] += 1
         host.end_attempt(request, Outcome.ANSWERED)
@@ -34,7 +34,7 @@
 
 def test_wide_endpoints_do_not_look_least_crowded_to_all_gateways() -> None:
     """A request's own threads weigh less at a wider endpoint, for every gateway alike: all sent there."""
-    endpoints = [engine(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)]
+    endpoints = [endpoint_entry(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)]
     at_wide_endpoints = 0
     for number in range(100):
         host = PolicyHost(seed=number, gateway_count=200, profiles=(LOAD,), kinds=KINDS)
@@ -51,7 +51,7 @@
 def test_unrestricted_requests_spare_restricted_endpoints_after_a_few_requests() -> None:
     """Weights followed only from the next epoch on, 16 shortest objectives later."""
     host = PolicyHost(gateway_count=200)
-    host.list_endpoints(*(engine(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)))
+    host.list_endpoints(*(endpoint_entry(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)))
     for group in range(32):
         host.end_attempt(
             host.receive(profile=PROFILES.index(RESTRICTED), group=group), Outcome.ANSWERED, after=MS
@@ -64,7 +64,7 @@
 def test_the_work_of_profiles_is_compared_over_one_span() -> None:
     """Sums went back four of each profile's client timeouts: restricted work looked four times as much."""
     host = PolicyHost(gateway_count=200, profiles=(LOOKUP, replace(RESTRICTED, client_timeout=25 * S)))
-    host.list_endpoints(*(engine(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)))
+    host.list_endpoints(*(endpoint_entry(1, id=name, kind=at % 2) for at, name in enumerate(ENDPOINT_IDS)))
     for second in range(100):
         for profile in (0, 0, 0, 0, 0, 1):
             request = host.receive(profile=profile, group=second % 9, timeout=6 * S)
@@ -78,7 +78,7 @@
     counts: Counter[api.EndpointId] = Counter()
     for number in range(10):
         host = PolicyHost(seed=number, gateway_count=200)
-        host.list_endpoints(*(engine(1, id=name) for name in ENDPOINT_IDS))
+        host.list_endpoints(*(endpoint_entry(1, id=name) for name in ENDPOINT_IDS))
         for group in list(range(5, 201, 7)) * 5:
             request = host.receive(group=group)
             counts[host.attempts(request)[0].endpoint_id] += 1
--- a/tests/fleet/test_slow_start_of_many.py
+++ b/tests/fleet/test_slow_start_of_many.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from conftest import PolicyHost, S, engine
+from conftest import PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 
@@ -16,7 +16,7 @@
     for number in range(20):
         host = PolicyHost(seed=number, gateway_count=20)
         host.list_endpoints(
-            *(engine(name, started_at=(host.now if name % 2 else 0)) for name in range(1, 13))
+            *(endpoint_entry(name, started_at=(host.now if name % 2 else 0)) for name in range(1, 13))
         )
         host.pass_time(6 * S)
         sent = []
@@ -33,11 +33,11 @@
     for number in range(20):
         host = PolicyHost(seed=number, gateway_count=20)
         host.list_endpoints(
-            *(engine(name, started_at=(host.now if name % 2 else 0)) for name in range(1, 13))
+            *(endpoint_entry(name, started_at=(host.now if name % 2 else 0)) for name in range(1, 13))
         )
         for group in range(100):
             request = host.receive(group=group)
-            sent += sum(attempt.endpoint_id == engine(1).id for attempt in host.attempts(request))
+            sent += sum(attempt.endpoint_id == endpoint_entry(1).id for attempt in host.attempts(request))
             host.pass_time(S // 100)
     work = sent * S  # no work is reported: each counts as twice the initial estimate
     assert work <= 3.0 * 0.3 * 8 * S
@@ -62,7 +62,7 @@
     hosts = []
     for number in range(30):
         host = PolicyHost(seed=seed * 1000 + number, gateway_count=30)
-        host.list_endpoints(engine(1, started_at=host.now - known_for))
+        host.list_endpoints(endpoint_entry(1, started_at=host.now - known_for))
         hosts.append(host)
     return hosts
 
@@ -104,11 +104,11 @@
     for an hour where it ran behind."""
     host = PolicyHost(gateway_count=30)
     host.now += 2 * 3600 * S
-    host.list_endpoints(engine(2))
+    host.list_endpoints(endpoint_entry(2))
     true_now = host.now - clock_off
-    host.list_endpoints(engine(1, started_at=true_now - S), kind=api.EndpointListKind.DELTA)
-    endpoint = host.gateway.endpoint_states.get(engine(1).id)
+    host.list_endpoints(endpoint_entry(1, started_at=true_now - S), kind=api.EndpointListKind.DELTA)
+    endpoint = host.gateway.endpoint_states.get(endpoint_entry(1).id)
     assert host.gateway.slow_start.is_active(endpoint)
     host.pass_time(16 * S)
     host.handle()
-    assert not host.gateway.slow_start.is_active(host.gateway.endpoint_states.get(engine(1).id))
+    assert not host.gateway.slow_start.is_active(host.gateway.endpoint_states.get(endpoint_entry(1).id))
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -24,7 +24,7 @@
     StandInClient,
     StandInEngine,
     World,
-    engine,
+    endpoint_entry,
     http_answer,
     settings,
 )
@@ -253,10 +253,12 @@
     decider = Decider(read_settings(7, told), SocketBudget(8), 1 << 20, Clock(), supervisor)
     decider.start()
     decider.post(
-        discovery.EndpointListUpdate(1, True, (discovery.ListedEndpoint(engine(1), ("127.0.0.1", 9)),), 0)
+        discovery.EndpointListUpdate(
+            1, True, (discovery.ListedEndpoint(endpoint_entry(1), ("127.0.0.1", 9)),), 0
+        )
     )
     await until(lambda: decider.has_endpoint_list)
-    actor = decider._endpoints.actor(engine(1).id)
+    actor = decider._endpoints.actor(endpoint_entry(1).id)
     assert actor is not None and actor.allows_hedging == allowed
     await supervisor.stop()
 
@@ -265,7 +267,7 @@
     allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False, connect_timeout=250 * MS)
     for left, again in ((200 * MS, False), (400 * MS, True)):  # until the engines forget: 5 s after the first
         host = PolicyHost(capabilities=allowed)
-        host.list_endpoints(engine(1), engine(2))
+        host.list_endpoints(endpoint_entry(1), endpoint_entry(2))
         command = host.receive(profile=3)
         host.end_attempt(command, api.Outcome.RESET, after=5 * S - left)
         assert len(host.attempts(command)) == 1 + again
@@ -525,7 +527,8 @@
             rev,
             whole,
             tuple(
-                discovery.ListedEndpoint(engine(name, status=state), None) for name, state in states.items()
+                discovery.ListedEndpoint(endpoint_entry(name, status=state), None)
+                for name, state in states.items()
             ),
             0,
         )
@@ -538,7 +541,7 @@
 async def test_events_that_came_together_are_told_as_one() -> None:
     told, supervisor = Line(), Supervisor()
     engines = DiscoveryActor(read_settings(7, settings()), Clock(), told.add, supervisor)
-    one, other = (discovery.ListedEndpoint(engine(name), ("127.0.0.1", name)) for name in (1, 2))
+    one, other = (discovery.ListedEndpoint(endpoint_entry(name), ("127.0.0.1", name)) for name in (1, 2))
     events = tuple(
         discovery.EndpointListUpdate(rev, whole, listed, 0)
         for rev, whole, listed in ((1, True, (one, other)), (2, True, (other,)), (3, False, (one,)))
--- a/tests/policy/random_day.py
+++ b/tests/policy/random_day.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from conftest import MS, PROFILES, PolicyHost, S, engine
+from conftest import MS, PROFILES, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 
@@ -29,7 +29,7 @@
         self._queue: list[tuple[int, int, api.Event]] = []
         self._order = itertools.count()
         self._entries = [
-            engine(1, id=b"s-%06d" % number, kind=number % 2) for number in range(endpoint_count)
+            endpoint_entry(1, id=b"s-%06d" % number, kind=number % 2) for number in range(endpoint_count)
         ]
         self.attempts: Counter[int] = Counter()
         self.final_answers: Counter[int] = Counter()
--- a/tests/policy/test_catalog.py
+++ b/tests/policy/test_catalog.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import replace
 
-from conftest import LOOKUP, engine
+from conftest import LOOKUP, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.policy.catalog import Catalog, DomainKey
@@ -13,7 +13,7 @@
     """An endpoint that was listed twice was counted twice, or stayed when it was removed."""
     catalog = Catalog(7, 1.0, lambda _kind: 8.0)
     domain = catalog.domain(DomainKey(None, None, None), lambda _entry: True)
-    first, removed = engine(1), engine(1, status=api.EndpointStatus.REMOVED)
+    first, removed = endpoint_entry(1), endpoint_entry(1, status=api.EndpointStatus.REMOVED)
     catalog.apply([first, removed, first], complete=True)
     assert catalog.ready == len(domain) == 1
     catalog.apply([first, removed], complete=False)
@@ -25,7 +25,9 @@
 def test_an_updated_catalog_equals_one_that_is_built_anew() -> None:
     """Changes are applied in place; what that leaves must not differ from a complete list."""
     draw = random.Random(3)
-    entries = [engine(1, id=b"s-%04d" % number, kind=number % 2, zone=number % 3) for number in range(400)]
+    entries = [
+        endpoint_entry(1, id=b"s-%04d" % number, kind=number % 2, zone=number % 3) for number in range(400)
+    ]
     restricted = replace(LOOKUP, kinds=frozenset({1}))
     updated = Catalog(7, 0.1, lambda kind: 4.0 + kind)
     domain = updated.domain(DomainKey(None, restricted.kinds, None), restricted.admits)
--- a/tests/policy/test_cell_assignment.py
+++ b/tests/policy/test_cell_assignment.py
@@ -1,6 +1,6 @@
 """Requests and endpoints of cells."""
 
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import EndpointStatus, Outcome
@@ -9,28 +9,33 @@
 def test_requests_that_wait_for_one_cell_delay_no_other() -> None:
     """The only endpoint of the first cell drains. The second cell must not notice."""
     host = PolicyHost()
-    host.list_endpoints(engine(1, status=EndpointStatus.DRAINING), engine(2))
+    host.list_endpoints(endpoint_entry(1, status=EndpointStatus.DRAINING), endpoint_entry(2))
     host.handle(
-        api.CellEndpointsChanged(1, 1, frozenset({engine(1).id})),
-        api.CellEndpointsChanged(2, 2, frozenset({engine(2).id})),
+        api.CellEndpointsChanged(1, 1, frozenset({endpoint_entry(1).id})),
+        api.CellEndpointsChanged(2, 2, frozenset({endpoint_entry(2).id})),
     )
     for request, cell in ((901, 1), (902, 2)):
         host.handle(api.RequestReceived(request, 0, 200 * MS, None, 6 * S, 1, None, cell=cell))
     assert not host.attempts(901) and [attempt.endpoint_id for attempt in host.attempts(902)] == [
-        engine(2).id
+        endpoint_entry(2).id
     ]
 
 
 def test_a_request_runs_in_its_cell_only_and_migrates_with_its_tenant() -> None:
     """A retry outside the cell would carry one tenant's fault to the endpoints of others."""
     host = PolicyHost()
-    host.list_endpoints(engine(1), engine(2))
-    host.handle(api.CellEndpointsChanged(1, 1, frozenset({engine(1).id})))
+    host.list_endpoints(endpoint_entry(1), endpoint_entry(2))
+    host.handle(api.CellEndpointsChanged(1, 1, frozenset({endpoint_entry(1).id})))
     host.handle(api.RequestReceived(901, 0, 200 * MS, None, 6 * S, 1, None, cell=1))
-    host.list_endpoints(engine(1, status=EndpointStatus.DRAINING), engine(2))
+    host.list_endpoints(endpoint_entry(1, status=EndpointStatus.DRAINING), endpoint_entry(2))
     host.end_attempt(901, Outcome.RESET)
     assert len(host.attempts(901)) == 1
-    host.handle(api.CellEndpointsChanged(2, 2, frozenset({engine(2).id})), api.RequestMigrated(901, 2))
-    assert [attempt.endpoint_id for attempt in host.attempts(901)] == [engine(1).id, engine(2).id]
+    host.handle(
+        api.CellEndpointsChanged(2, 2, frozenset({endpoint_entry(2).id})), api.RequestMigrated(901, 2)
+    )
+    assert [attempt.endpoint_id for attempt in host.attempts(901)] == [
+        endpoint_entry(1).id,
+        endpoint_entry(2).id,
+    ]
     host.handle(api.RequestWithdrawn(901))
     assert host.final_answers(901) == [api.RejectRequest(901, 500 * MS)]
--- a/tests/policy/test_degradation.py
+++ b/tests/policy/test_degradation.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import EndpointStatus, Outcome
@@ -44,9 +44,9 @@
 def test_a_level_rejects_waiting_requests_without_attempts_only() -> None:
     """What may have been executed is not the level's to reject."""
     host = PolicyHost()
-    host.list_endpoints(engine(1))
+    host.list_endpoints(endpoint_entry(1))
     sent = host.receive()
-    host.list_endpoints(engine(1, status=EndpointStatus.DRAINING))
+    host.list_endpoints(endpoint_entry(1, status=EndpointStatus.DRAINING))
     waiting = host.receive()
     host.handle(reduced(0.0))
     assert host.final_answers(waiting) == [host.actions[-1]] and not host.final_answers(sent)
--- a/tests/policy/test_dispatch.py
+++ b/tests/policy/test_dispatch.py
@@ -1,6 +1,6 @@
 """In which order waiting requests go."""
 
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream.interface import EndpointStatus, Outcome
 
@@ -8,11 +8,11 @@
 def test_of_waiting_requests_the_one_that_adds_no_stall_goes_first() -> None:
     """Both wait for an endpoint on which a load runs: the reader of another group goes first."""
     host = PolicyHost()
-    host.list_endpoints(engine(1))
+    host.list_endpoints(endpoint_entry(1))
     host.receive(profile=1, group=4)
-    host.list_endpoints(engine(1, status=EndpointStatus.DRAINING))
+    host.list_endpoints(endpoint_entry(1, status=EndpointStatus.DRAINING))
     stalled, free = host.receive(group=4), host.receive(group=5)
-    host.list_endpoints(engine(1))
+    host.list_endpoints(endpoint_entry(1))
     assert [attempt.request_id for attempt in host.attempts()[1:]] == [free, stalled]
 
 
@@ -38,7 +38,7 @@
     """The placements of a batch are bounded. What it does not come to must not be forgotten."""
     host = PolicyHost()
     requests = [host.receive(group=group) for group in range(60)]  # no endpoint yet
-    host.list_endpoints(*(engine(name) for name in range(1, 9)))
+    host.list_endpoints(*(endpoint_entry(name) for name in range(1, 9)))
     host.pass_time(MS)
     host.handle()
     host.pass_time(MS)
--- a/tests/policy/test_outlier_ejection.py
+++ b/tests/policy/test_outlier_ejection.py
@@ -1,6 +1,6 @@
 """Endpoints that fail or fall silent, their trial requests, and what peers report of them."""
 
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import Outcome
@@ -36,7 +36,7 @@
 def test_an_endpoint_ejected_for_errors_finishes_what_it_runs_and_skips_slow_start() -> None:
     """It answers, so it has not restarted: what it runs goes on, and it has its full capacity."""
     host = PolicyHost()
-    host.list_endpoints(engine(1))
+    host.list_endpoints(endpoint_entry(1))
     running, bad = host.receive(), [host.receive(profile=2, key=key) for key in (1, 2, 3)]
     for request in bad:
         host.end_attempt(request, Outcome.ERROR, 0)
@@ -45,27 +45,27 @@
     host.pass_time(100 * MS)
     assert not [action for action in host.actions if isinstance(action, api.CancelAttempt)]
     host.end_attempt(running, Outcome.ANSWERED, 0)
-    endpoint = host.gateway.endpoint_states.retained[engine(1).id]
+    endpoint = host.gateway.endpoint_states.retained[endpoint_entry(1).id]
     assert host.attempts(waiting) and not host.gateway.slow_start.is_active(endpoint)
 
 
 def test_resets_by_an_endpoint_that_responds_are_no_restart() -> None:
     """Connections were reset, but the endpoint has answered on others: what it runs goes on."""
     host = PolicyHost()
-    host.list_endpoints(engine(1))
+    host.list_endpoints(endpoint_entry(1))
     running = host.receive()
     for key in (1, 2, 3):
         host.end_attempt(host.receive(profile=2, key=key), Outcome.RESET, 0, endpoint_responded=True)
     host.pass_time(100 * MS)
     assert api.CancelAttempt(running, 0) not in host.actions
     host.end_attempt(running, Outcome.ANSWERED, 0)
-    assert not host.gateway.slow_start.is_active(host.gateway.endpoint_states.retained[engine(1).id])
+    assert not host.gateway.slow_start.is_active(host.gateway.endpoint_states.retained[endpoint_entry(1).id])
 
 
 def test_a_trial_request_has_its_time_and_no_more(host: PolicyHost) -> None:
     """All endpoints are ejected. The trial request of one must not be cancelled early, nor wait forever."""
     for name in (1, 2, 3):
-        endpoint = host.gateway.endpoint_states.get(engine(name).id)
+        endpoint = host.gateway.endpoint_states.get(endpoint_entry(name).id)
         host.gateway.endpoint_states.retain(endpoint)
         host.gateway.outlier_ejection.eject(endpoint)
     host.pass_time(5 * S)
@@ -79,7 +79,7 @@
 
 def test_reports_of_peers_eject_no_endpoint(host: PolicyHost) -> None:
     """A peer that has lost its own network would eject endpoints for all gateways."""
-    endpoint_id = engine(1).id
+    endpoint_id = endpoint_entry(1).id
     host.handle(*[api.PeerHealthReported(endpoint_id, False)] * 9)
     assert (
         endpoint_snapshot(host, endpoint_id).ejected_until is None
@@ -93,7 +93,7 @@
     left = set()
     for seed in range(1, 9):
         host = PolicyHost(seed=seed)
-        host.list_endpoints(engine(1), engine(2), engine(3))
+        host.list_endpoints(endpoint_entry(1), endpoint_entry(2), endpoint_entry(3))
         ejected = eject_one(host)
         before = endpoint_snapshot(host, ejected).ejected_until
         host.handle(api.PeerHealthReported(ejected, True))
@@ -118,7 +118,7 @@
 def test_a_silent_endpoint_is_ejected_though_no_further_request_comes() -> None:
     """Periodic evaluation reached only endpoints that the placement of a later request had considered."""
     host = PolicyHost(progress_interval=100 * MS)
-    host.list_endpoints(engine(1), engine(2))
+    host.list_endpoints(endpoint_entry(1), endpoint_entry(2))
     request = host.receive()
     silent = host.attempts(request)[0].endpoint_id
     host.pass_time(5 * S)
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -1,6 +1,6 @@
 """Which endpoint a request goes to."""
 
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import EndpointStatus, Outcome
@@ -41,9 +41,11 @@
     """Attempts sent to an endpoint that leaves are lost with it."""
     changes = api.EndpointListKind.DELTA
     host.list_endpoints(
-        engine(1, status=EndpointStatus.DRAINING), engine(2, status=EndpointStatus.REMOVED), kind=changes
+        endpoint_entry(1, status=EndpointStatus.DRAINING),
+        endpoint_entry(2, status=EndpointStatus.REMOVED),
+        kind=changes,
     )
-    assert host.attempts(host.receive())[0].endpoint_id == engine(3).id
+    assert host.attempts(host.receive())[0].endpoint_id == endpoint_entry(3).id
 
 
 def test_a_request_restricted_to_an_absent_kind_waits_and_is_answered_in_time(host: PolicyHost) -> None:
@@ -58,14 +60,14 @@
     used = set()
     for seed in range(40):
         host = PolicyHost(gateway_count=200, seed=seed)
-        host.list_endpoints(*(engine(name) for name in range(1, 13)))
+        host.list_endpoints(*(endpoint_entry(name) for name in range(1, 13)))
         used.add(host.attempts(host.receive(group=4))[0].endpoint_id)
     assert len(used) <= 3
 
 
 def test_a_load_avoids_the_affinity_set_of_its_group() -> None:
     """The readers of other gateways are in the affinity set: a load there would stall them."""
-    endpoints = [engine(name) for name in range(1, 13)]
+    endpoints = [endpoint_entry(name) for name in range(1, 13)]
     readers, loads = set(), set()
     for seed in range(40):
         for profile, used in ((0, readers), (1, loads)):
@@ -78,7 +80,7 @@
 def test_unrestricted_requests_spare_the_kind_that_others_are_restricted_to() -> None:
     """Restricted requests can go nowhere else: they would be crowded out by those that can."""
     host = PolicyHost(gateway_count=200)
-    endpoints = [engine(name, kind=name % 2) for name in range(1, 13)]
+    endpoints = [endpoint_entry(name, kind=name % 2) for name in range(1, 13)]
     host.list_endpoints(*endpoints)
     for group in range(30):
         host.end_attempt(host.receive(profile=4, group=group), Outcome.ANSWERED, after=MS)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from conftest import LOAD, LOOKUP, MS, NOT_IDEMPOTENT, WITH_IDEMPOTENCY_KEY, PolicyHost, S, engine
+from conftest import LOAD, LOOKUP, MS, NOT_IDEMPOTENT, WITH_IDEMPOTENCY_KEY, PolicyHost, S, endpoint_entry
 
 from lotusstream import interface as api
 from lotusstream.interface import EndpointStatus, Outcome
@@ -36,7 +36,7 @@
     """Only the endpoints of the zone know the key, and only within the window: elsewhere a repeat would be
     executed."""
     host = PolicyHost()
-    host.list_endpoints(engine(1), engine(2, zone=1))
+    host.list_endpoints(endpoint_entry(1), endpoint_entry(2, zone=1))
     request = host.receive(profile=3)
     first = host.attempts(request)[0].endpoint_id
     host.end_attempt(request, Outcome.ERROR)
@@ -48,7 +48,7 @@
 def test_retries_stay_within_their_budget() -> None:
     """Retries without a bound multiply the load of endpoints that are full already."""
     host = PolicyHost(retry_budget_min=1, retry_budget_ratio=0.0, retry_budget_window=10 * S)
-    host.list_endpoints(engine(1), engine(2), engine(3))
+    host.list_endpoints(endpoint_entry(1), endpoint_entry(2), endpoint_entry(3))
     for _ in range(3):
         host.end_attempt(host.receive(), Outcome.FULL, after=MS)
     assert len(host.attempts()) == 4
@@ -61,10 +61,10 @@
     )
     for reset_after, answer in ((10 * S, api.RejectRequest), (20 * S, api.FailRequest)):
         host = PolicyHost(profiles=(LOOKUP, LOAD, NOT_IDEMPOTENT, deduplicated_everywhere))
-        host.list_endpoints(engine(1))
+        host.list_endpoints(endpoint_entry(1))
         request = host.receive(3)
         host.pass_time(reset_after)
-        host.list_endpoints(engine(1, status=EndpointStatus.DRAINING))
+        host.list_endpoints(endpoint_entry(1, status=EndpointStatus.DRAINING))
         host.end_attempt(request, Outcome.RESET, after=0)
         host.pass_time(S if answer is api.RejectRequest else 0)
         host.handle(api.ShutdownStarted(host.now))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,6 +1,6 @@
 """What endpoints that have just started are sent."""
 
-from conftest import MS, PolicyHost, S, engine
+from conftest import MS, PolicyHost, S, endpoint_entry
 
 from lotusstream.interface import Outcome
 
@@ -9,21 +9,21 @@
     """An endpoint that has just started falls over if it is sent more than a multiple of what it can do."""
     host = PolicyHost()
     host.now = 100 * S
-    host.list_endpoints(engine(1, started_at=99 * S))
+    host.list_endpoints(endpoint_entry(1, started_at=99 * S))
     for _ in range(50):
         host.receive()
     sent = len(host.attempts())
     assert 0 < sent * 200 * MS <= 3 * 0.3 * 8 * S
     warm = PolicyHost()
     warm.now = 120 * S
-    warm.list_endpoints(engine(1, started_at=99 * S))
+    warm.list_endpoints(endpoint_entry(1, started_at=99 * S))
     assert all(len(warm.attempts(warm.receive())) == 1 for _ in range(30))
 
 
 def test_an_endpoint_that_answers_after_resets_begins_slow_start() -> None:
     """It may have restarted without the list reporting it."""
     host = PolicyHost()
-    host.list_endpoints(engine(1))
+    host.list_endpoints(endpoint_entry(1))
     for _ in range(3):
         host.end_attempt(host.receive(profile=2, group=7), Outcome.RESET)
     host.pass_time(2 * S)
@@ -42,7 +42,7 @@
     for seed in range(200):
         host = PolicyHost(gateway_count=200, seed=seed)
         host.now = 100 * S
-        host.list_endpoints(engine(1, started_at=99 * S))
+        host.list_endpoints(endpoint_entry(1, started_at=99 * S))
         first = host.receive()
         host.pass_time(5 * S)
         sent += len(host.attempts(first))
--- a/tests/scale/test_long_lists.py
+++ b/tests/scale/test_long_lists.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from conftest import World, engine, http_answer
+from conftest import World, endpoint_entry, http_answer
 
 from lotusstream import interface as api
 from lotusstream.net.connection import Connection, SocketBudget
@@ -15,7 +15,7 @@
 
 
 def listed(name: int, **changes: object) -> ListedEndpoint:
-    return ListedEndpoint(engine(name, **changes), ("127.0.0.1", name))
+    return ListedEndpoint(endpoint_entry(name, **changes), ("127.0.0.1", name))
 
 
 def whole(*entries: ListedEndpoint) -> EndpointListUpdate:
