--- a/lotusstream/deployment.py
+++ b/lotusstream/deployment.py
@@ -1,4 +1,8 @@
-"""Reads the settings object of a deployment: what the module starts with, and the protocol's limits."""
+"""Reads the settings object of a deployment, and maps its keys to this project's names once.
+
+The settings give what the decision module starts with, and the limits of the protocol. Times are in
+microseconds.
+"""
 
 from __future__ import annotations
 
@@ -16,29 +20,82 @@
 
 
 class SettingsError(Exception):
-    """The settings object is not of the told shape."""
+    """The settings object is not of the form that the pages give."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """`started` is the module's first event; the rest is for those that carry its actions out."""
+    """`started` is the decision module's first event; the rest is for those that carry out its actions."""
 
     started: api.GatewayStarted
-    report_columns: tuple[str, ...]
-    profiles: tuple[str, ...]
-    zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-    connect_timeout: int
-    idle_timeout: int
-    max_open_requests: int
+    report_columns: tuple[str, ...]  # of a load report, in their order
+    profiles: tuple[str, ...]  # names, by index
+    zones: tuple[str, ...]  # names, by index
+    kinds: tuple[str, ...]  # names of the kinds of endpoints, by index
+    connect_timeout: int  # microseconds
+    idle_timeout: int  # after which an endpoint closes an idle connection, microseconds
+    max_open_requests: int  # of one gateway; 0 for no limit
+
+
+def read_settings(seed: int, raw: dict[str, Any]) -> Deployment:
+    """Reads the settings object.
+
+    :param seed: of the decision module's random choices.
+    :raises SettingsError: where a value is missing or of another type.
+    """
+    try:
+        return _read(seed, raw)
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise SettingsError(f"settings cannot be read: {error!r}") from error
+
+
+def _read(seed: int, raw: dict[str, Any]) -> Deployment:
+    specifics = raw.get("specifics", {})
+    limits = raw.get("limits", {})
+    kinds = _read_kinds(specifics)
+    profiles = raw["request_classes"]
+    return Deployment(
+        started=api.GatewayStarted(
+            seed=seed,
+            gateway_count=max(1, raw.get("n_instances", 1)),
+            batch_interval=raw.get("period", 1),
+            profiles=tuple(_read_profile(each, index, specifics) for index, each in enumerate(profiles)),
+            kinds=kinds,
+            max_grant_ratio=specifics.get("largest_share", 1.0),
+            progress_interval=specifics.get("progress_pace", 0),
+            reports_in_flight="active" in _report_columns(raw),
+            capabilities=_read_capabilities(limits, specifics, raw.get("discovery", "automatic")),
+            rule_limits=_read_rule_limits(raw.get("rules", {})),
+        ),
+        report_columns=_report_columns(raw),
+        profiles=tuple(profile.get("name", "") for profile in profiles),
+        zones=tuple(raw.get("zones", ())),
+        kinds=tuple(raw.get("flavors", ())),
+        connect_timeout=limits.get("connect_timeout", 0),
+        idle_timeout=limits.get("conn_idle", 0),
+        max_open_requests=limits.get("max_open", 0),
+    )
 
 
-def _profile(raw: dict[str, Any], index: int, specifics: dict[str, Any]) -> api.Profile:
-    def listed(name: str, absent: Any) -> Any:
+def _report_columns(raw: dict[str, Any]) -> tuple[str, ...]:
+    return tuple(raw.get("report", {}).get("columns", ()))
+
+
+def _read_kinds(specifics: dict[str, Any]) -> tuple[api.EndpointKind, ...]:
+    """The kinds of endpoints. One without a size has 0 MB."""
+    cores = specifics.get("cpu_of_kind") or [1]
+    sizes_mb = [*(specifics.get("size_mb") or []), *[0.0] * len(cores)]
+    return tuple(
+        api.EndpointKind(float(count), float(size)) for count, size in zip(cores, sizes_mb, strict=False)
+    )
+
+
+def _read_profile(raw: dict[str, Any], index: int, specifics: dict[str, Any]) -> api.Profile:
+    def by_index(name: str, default: Any) -> Any:
         values = specifics.get(name) or []
-        return values[index] if index < len(values) else absent
+        return values[index] if index < len(values) else default
 
-    def only(name: str) -> frozenset[int] | None:
+    def restriction(name: str) -> frozenset[int] | None:
         return frozenset(raw[name]) if raw.get(name) is not None else None
 
     return api.Profile(
@@ -51,15 +108,15 @@
         deduplication_scope=api.DeduplicationScope(raw.get("group", "all")),
         deduplication_window=raw.get("window", 0),
         ordered_by_key=bool(raw.get("fifo_by_key")),
-        zones=only("stays_in"),
-        kinds=only("flavors_only"),
-        is_load=bool(listed("writes_tables", False)),
-        waits_for_loads=bool(listed("class_waits", False)),
-        threads=max(1, int(listed("threads_by_class", 1))),
+        zones=restriction("stays_in"),
+        kinds=restriction("flavors_only"),
+        is_load=bool(by_index("writes_tables", False)),
+        waits_for_loads=bool(by_index("class_waits", False)),
+        threads=max(1, int(by_index("threads_by_class", 1))),
     )
 
 
-def _allowed(raw: dict[str, Any], specifics: dict[str, Any], discovery: str) -> api.Capabilities:
+def _read_capabilities(raw: dict[str, Any], specifics: dict[str, Any], discovery: str) -> api.Capabilities:
     return api.Capabilities(
         max_attempts=raw.get("max_attempts", 1),
         hedging=bool(raw.get("second_copies")),
@@ -73,7 +130,7 @@
     )
 
 
-def _duties(raw: dict[str, Any]) -> api.RuleLimits:
+def _read_rule_limits(raw: dict[str, Any]) -> api.RuleLimits:
     return api.RuleLimits(
         answer_slack=raw.get("answer_slack", 0),
         slow_start_initial_ratio=raw.get("cold_from", 1.0),
@@ -86,37 +143,3 @@
         retry_budget_window=raw.get("resend_span", 0),
         poll_interval=raw.get("ask_within", 0),
     )
-
-
-def read_settings(seed: int, raw: dict[str, Any]) -> Deployment:
-    try:
-        specifics, limits = raw.get("specifics", {}), raw.get("limits", {})
-        cores, sizes = specifics.get("cpu_of_kind") or [1], specifics.get("size_mb") or []
-        sizes = [*sizes, *[0.0] * len(cores)]
-        kinds = tuple(
-            api.EndpointKind(float(count), float(size)) for count, size in zip(cores, sizes, strict=False)
-        )
-        profiles = raw["request_classes"]
-        return Deployment(
-            started=api.GatewayStarted(
-                seed=seed,
-                gateway_count=max(1, raw.get("n_instances", 1)),
-                batch_interval=raw.get("period", 1),
-                profiles=tuple(_profile(p, i, specifics) for i, p in enumerate(profiles)),
-                kinds=kinds,
-                max_grant_ratio=specifics.get("largest_share", 1.0),
-                progress_interval=specifics.get("progress_pace", 0),
-                reports_in_flight="active" in raw.get("report", {}).get("columns", ()),
-                capabilities=_allowed(limits, specifics, raw.get("discovery", "automatic")),
-                rule_limits=_duties(raw.get("rules", {})),
-            ),
-            report_columns=tuple(raw.get("report", {}).get("columns", ())),
-            profiles=tuple(profile.get("name", "") for profile in profiles),
-            zones=tuple(raw.get("zones", ())),
-            kinds=tuple(raw.get("flavors", ())),
-            connect_timeout=limits.get("connect_timeout", 0),
-            idle_timeout=limits.get("conn_idle", 0),
-            max_open_requests=limits.get("max_open", 0),
-        )
-    except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise SettingsError(f"settings cannot be read: {error!r}") from error
--- a/lotusstream/lab/scale/planted.py
+++ b/lotusstream/lab/scale/planted.py
@@ -79,8 +79,10 @@
     """Servers are told half a second more than the client has left."""
     headers = http.attempt_headers
 
-    def longer(call: str, profile: str, limit: int, mark: str | None, priority: int | None) -> dict[str, str]:
-        return headers(call, profile, limit + 500_000, mark, priority)
+    def longer(
+        call_id: str, profile: str, time_limit: int, idempotency_key: str | None, priority: int | None
+    ) -> dict[str, str]:
+        return headers(call_id, profile, time_limit + 500_000, idempotency_key, priority)
 
     http.attempt_headers = longer
 
--- a/lotusstream/log.py
+++ b/lotusstream/log.py
@@ -1,4 +1,4 @@
-"""Log lines, so many of a kind in a time: plain ones on standard error, or whatever `use` is given."""
+"""Log lines, limited by their kind: plain ones on standard error, or to a writer that is given."""
 
 from __future__ import annotations
 
@@ -13,35 +13,43 @@
 
 
 def write_plain(_severity: str, kind: str, text: str, _fields: Mapping[str, object]) -> None:
+    """Writes a line on standard error."""
     print(f"{kind}: {text}", file=sys.stderr, flush=True)
 
 
 class Log:
+    """Limits the lines of each kind, so that a fault that repeats does not fill the disk or hide the rest."""
+
     def __init__(self) -> None:
-        self._kinds: dict[str, tuple[float, int]] = {}
+        self._windows: dict[str, tuple[float, int]] = {}  # by kind: its begin in seconds, and its lines
         self._write: LogWriter = write_plain
 
     def use(self, writer: LogWriter) -> None:
+        """Sends all further lines to `writer`."""
         self._write = writer
 
     @property
     def structured(self) -> bool:
+        """Whether lines are written with their fields."""
         return self._write is not write_plain
 
     def write(self, kind: str, text: str, severity: str = "warning", **fields: object) -> None:
-        """`kind` is one of a fixed set of names: lines are limited by it. `fields` are written where lines
-        are structured; the text says it all where they are not."""
+        """Writes a line, unless too many of its kind have been written.
+
+        :param kind: one of a fixed set of names, by which lines are limited.
+        :param text: says everything; `fields` are written only where lines are structured.
+        """
         now = time.monotonic()
-        since, count = self._kinds.get(kind, (now, 0))
-        if now - since >= LIMIT_WINDOW_S:
-            if count > MAX_LINES_PER_WINDOW:
-                self._write(
-                    severity,
-                    kind,
-                    f"{count - MAX_LINES_PER_WINDOW} more lines left out",
-                    {"left_out": count - MAX_LINES_PER_WINDOW},
-                )
-            since, count = now, 0
-        self._kinds[kind] = (since, count + 1)
+        began, count = self._windows.get(kind, (now, 0))
+        if now - began >= LIMIT_WINDOW_S:
+            self._report_left_out(kind, count, severity)
+            began = now
+            count = 0
+        self._windows[kind] = (began, count + 1)
         if count < MAX_LINES_PER_WINDOW:
             self._write(severity, kind, text, fields)
+
+    def _report_left_out(self, kind: str, count: int, severity: str) -> None:
+        left_out = count - MAX_LINES_PER_WINDOW
+        if left_out > 0:
+            self._write(severity, kind, f"{left_out} more lines left out", {"left_out": left_out})
--- a/lotusstream/protocol/front.py
+++ b/lotusstream/protocol/front.py
@@ -14,68 +14,75 @@
 
 from lotusstream.deployment import Deployment
 from lotusstream.interface import Idempotency
+from lotusstream.protocol.errors import ProtocolError
 
-FRAME = struct.Struct("!i")
+FRAME = struct.Struct("!i")  # length of the message that follows
 MAX_FRAME_BYTES = 256 << 10
 MAX_FIELD_COUNT = 256
 MAX_OPEN_REQUEST_COUNT = 32  # on one connection
-MS = 1000
-CLIENT_IDLE_TIMEOUT_US = 4000 * MS  # clients close what has been idle for that long
-CLOSE_RACE_US = 50 * MS  # a command that comes within that time after a close is sent again elsewhere
-FIRST_MESSAGE_TIMEOUT_US = 3000 * MS  # from the connect, to whoever has sent nothing that can be used
+MS = 1000  # microseconds in a millisecond
+CLIENT_IDLE_TIMEOUT_US = 4000 * MS  # after which clients close an idle connection
+CLOSE_RACE_US = 50 * MS  # a request that comes within that time after a close is sent again elsewhere
+FIRST_MESSAGE_TIMEOUT_US = 3000 * MS  # from the connect, for a client's first usable message
 
-_CALL = re.compile(r"[0-9a-f]{16}\Z")
+_CALL_ID = re.compile(r"[0-9a-f]{16}\Z")
 _HEADER_VALUE = re.compile(r"[\x21-\x7e]{1,256}\Z")
 _NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?\Z")
 
 
-class FrameError(Exception):
+class FrameError(ProtocolError):
     """The stream of frames can't be read on."""
 
 
-class MessageFormatError(Exception):
-    """One message that can't be used. `fault` is the answer to it, if one is owed."""
+class MessageFormatError(ProtocolError):
+    """One message that can't be used. `fault` is the frame that answers it, if one is owed."""
 
-    def __init__(self, method: str, seqid: int, kind: int, why: str, *, answered: bool) -> None:
-        super().__init__(why)
-        self.fault = encode_fault(method, seqid, kind, why) if answered else None
+    def __init__(self, method: str, seqid: int, kind: int, reason: str, *, is_answered: bool) -> None:
+        super().__init__(reason)
+        self.fault = encode_fault(method, seqid, kind, reason) if is_answered else None
 
 
-class RequestFormatError(Exception):
+class RequestFormatError(ProtocolError):
     """A message whose fields can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessRequest:
+    """A client's request."""
+
     seqid: int
     fields: dict[str, str]
-    body: bytes
+    body: bytes  # the statement, UTF-8
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    seqid: int  # of the command that is given up
+    """The client waits no longer for a request."""
+
+    seqid: int  # of the request
 
 
 @dataclass(frozen=True, slots=True)
 class HealthProbe:
+    """Asks whether the gateway is healthy."""
+
     seqid: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFields:
-    """What a client says of its command, in this project's units."""
+    """What a client says of its request."""
 
-    profile: int
+    profile: int  # index in the deployment's profiles
     call_id: str
-    time_left: int
+    time_left: int  # until its deadline, microseconds
     idempotency_key: str | None
-    work_hint: int | None
+    work_hint: int | None  # microseconds
     memory_mb: float | None
 
 
 def frame_length(data: memoryview) -> int | None:
-    """The length of the frame that begins here, or None while too little has come."""
+    """The length of the frame that begins here, or None while too little has come. Raises FrameError."""
     if len(data) < FRAME.size:
         return None
     (length,) = FRAME.unpack_from(data)
@@ -84,7 +91,7 @@
     return int(length)
 
 
-def _text_map(protocol: TBinaryProtocol) -> dict[str, str]:
+def _read_text_map(protocol: TBinaryProtocol) -> dict[str, str]:
     key_type, value_type, size = protocol.readMapBegin()
     if size and (key_type, value_type) != (TType.STRING, TType.STRING):
         raise TProtocolException(TProtocolException.INVALID_DATA, "a map of other types than text")
@@ -92,7 +99,7 @@
 
 
 _READERS: dict[int, Any] = {
-    TType.MAP: _text_map,
+    TType.MAP: _read_text_map,
     TType.STRING: TBinaryProtocol.readBinary,
     TType.I32: TBinaryProtocol.readI32,
     TType.BOOL: TBinaryProtocol.readBool,
@@ -113,10 +120,10 @@
     )
 
 
-def _arguments(
+def _read_arguments(
     protocol: TBinaryProtocol, known: dict[int, int], inside: dict[int, dict[int, int]] | None = None
 ) -> dict[int, Any]:
-    """The known fields of a struct, and those of the known structs `inside` it."""
+    """The `known` fields of a struct, by their numbers, and those of the known structs `inside` it."""
     values: dict[int, Any] = {}
     protocol.readStructBegin()
     while True:
@@ -124,7 +131,7 @@
         if kind == TType.STOP:
             return values
         if kind == TType.STRUCT and inside and number in inside:
-            values[number] = _arguments(protocol, inside[number])
+            values[number] = _read_arguments(protocol, inside[number])
         elif known.get(number) == kind:
             values[number] = _READERS[kind](protocol)
         else:
@@ -132,6 +139,7 @@
 
 
 def decode(frame: bytes) -> ProcessRequest | CancelRequest | HealthProbe:
+    """Decodes a client's message. Raises FrameError or MessageFormatError."""
     protocol = _reader(frame)
     try:
         method, kind, seqid = protocol.readMessageBegin()
@@ -139,22 +147,32 @@
         raise FrameError(f"no message: {error!r}") from error
     if kind not in (TMessageType.CALL, TMessageType.ONEWAY):
         raise FrameError(f"a message of type {kind}")
+    is_answered = kind == TMessageType.CALL
     if method not in _ARGUMENTS:
-        why, fault = "unknown method", TApplicationException.UNKNOWN_METHOD
-        raise MessageFormatError(method, seqid, fault, why, answered=kind == TMessageType.CALL)
+        fault = TApplicationException.UNKNOWN_METHOD
+        raise MessageFormatError(method, seqid, fault, "unknown method", is_answered=is_answered)
     try:
-        values = _arguments(protocol, _ARGUMENTS[method])
-        if method == "probe":
+        return _decode_arguments(protocol, method, seqid)
+    except Exception as error:  # as above
+        fault = TApplicationException.PROTOCOL_ERROR
+        reason = f"unusable: {error!r}"
+        raise MessageFormatError(method, seqid, fault, reason, is_answered=is_answered) from error
+
+
+def _decode_arguments(
+    protocol: TBinaryProtocol, method: str, seqid: int
+) -> ProcessRequest | CancelRequest | HealthProbe:
+    values = _read_arguments(protocol, _ARGUMENTS[method])
+    match method:
+        case "probe":
             return HealthProbe(seqid)
-        if method == "giveUp":
+        case "giveUp":
             return CancelRequest(values[1])
-        return ProcessRequest(seqid, values[1], values[2])
-    except Exception as error:  # as above
-        why, fault = f"unusable: {error!r}", TApplicationException.PROTOCOL_ERROR
-        raise MessageFormatError(method, seqid, fault, why, answered=kind == TMessageType.CALL) from error
+        case _:
+            return ProcessRequest(seqid, values[1], values[2])
 
 
-def _number(fields: dict[str, str], name: str) -> float | None:
+def _parse_number(fields: dict[str, str], name: str) -> float | None:
     if name not in fields:
         return None
     if not _NUMBER.match(fields[name]):
@@ -163,30 +181,39 @@
 
 
 def parse_request_fields(fields: dict[str, str], deployment: Deployment) -> RequestFields:
-    profile, call, mark = fields.get("op"), fields.get("call", ""), fields.get("dedupe")
-    if profile not in deployment.profiles:
-        raise RequestFormatError("op names no profile")
-    if not _CALL.match(call):
+    """Maps the wire's names and units to this project's. Raises RequestFormatError."""
+    profile = _parse_profile(fields, deployment)
+    call_id = fields.get("call", "")
+    if not _CALL_ID.match(call_id):
         raise RequestFormatError("call is no id")
-    if mark is not None and not _HEADER_VALUE.match(mark):
+    idempotency_key = fields.get("dedupe")
+    if idempotency_key is not None and not _HEADER_VALUE.match(idempotency_key):
         raise RequestFormatError("dedupe is no mark")
-    index = deployment.profiles.index(profile)
-    if deployment.started.profiles[index].idempotency is Idempotency.IDEMPOTENT_WITH_KEY and mark is None:
+    needs_key = deployment.started.profiles[profile].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    if needs_key and idempotency_key is None:
         raise RequestFormatError("dedupe is missing")
-    ttl, work = _number(fields, "ttl"), _number(fields, "work")
-    if ttl is None:
+    time_left_ms = _parse_number(fields, "ttl")
+    work_ms = _parse_number(fields, "work")
+    if time_left_ms is None:
         raise RequestFormatError("ttl is missing")
     return RequestFields(
-        profile=index,
-        call_id=call,
-        time_left=int(ttl * MS),
-        idempotency_key=mark,
-        work_hint=int(work * MS) if work else None,
-        memory_mb=_number(fields, "mem") or None,
+        profile=profile,
+        call_id=call_id,
+        time_left=int(time_left_ms * MS),
+        idempotency_key=idempotency_key,
+        work_hint=int(work_ms * MS) if work_ms else None,
+        memory_mb=_parse_number(fields, "mem") or None,
     )
 
 
-def _message(method: str, kind: int, seqid: int) -> TBinaryProtocol:
+def _parse_profile(fields: dict[str, str], deployment: Deployment) -> int:
+    profile = fields.get("op")
+    if profile not in deployment.profiles:
+        raise RequestFormatError("op names no profile")
+    return deployment.profiles.index(profile)
+
+
+def _begin_message(method: str, kind: int, seqid: int) -> TBinaryProtocol:
     protocol = TBinaryProtocol(TMemoryBuffer())
     protocol.writeMessageBegin(method, kind, seqid)
     return protocol
@@ -205,21 +232,23 @@
         protocol.writeString(value)
 
 
-def encode_answer(method: str, seqid: int, body: bytes, good: bool) -> bytes:
-    protocol = _message(method, TMessageType.REPLY, seqid)
+def encode_answer(method: str, seqid: int, body: bytes, is_healthy: bool) -> bytes:
+    """The frame of a result: rows of a request, or the answer to a health probe."""
+    protocol = _begin_message(method, TMessageType.REPLY, seqid)
     protocol.writeFieldBegin("success", TType.STRUCT, 0)
     protocol.writeFieldBegin("body", TType.STRING, 1)
     protocol.writeBinary(body)
     _write_map(protocol, 2, {})
     protocol.writeFieldBegin("good", TType.BOOL, 3)
-    protocol.writeBool(good)
+    protocol.writeBool(is_healthy)
     protocol.writeFieldStop()
     protocol.writeFieldStop()
     return _frame(protocol)
 
 
-def _encode_declared(seqid: int, number: int, fields: dict[str, str]) -> bytes:
-    protocol = _message("process", TMessageType.REPLY, seqid)
+def _encode_exception(seqid: int, number: int, fields: dict[str, str]) -> bytes:
+    """An exception that the protocol declares. `number`: of its field in the result."""
+    protocol = _begin_message("process", TMessageType.REPLY, seqid)
     protocol.writeFieldBegin("exception", TType.STRUCT, number)
     _write_map(protocol, 1, fields)
     protocol.writeFieldStop()
@@ -227,31 +256,36 @@
     return _frame(protocol)
 
 
-def encode_rejection(seqid: int, come_back_after: int) -> bytes:
-    return _encode_declared(seqid, 1, {"pushback": str(come_back_after // MS)} if come_back_after else {})
+def encode_rejection(seqid: int, retry_after: int) -> bytes:
+    """The frame that says that the gateway sheds load. `retry_after`: microseconds, 0 for no advice."""
+    return _encode_exception(seqid, 1, {"pushback": str(retry_after // MS)} if retry_after else {})
 
 
-def encode_failure(seqid: int, why: str) -> bytes:
-    return _encode_declared(seqid, 2, {"reason": why})
+def encode_failure(seqid: int, reason: str) -> bytes:
+    """The frame of a request that has failed."""
+    return _encode_exception(seqid, 2, {"reason": reason})
 
 
-def encode_fault(method: str, seqid: int, kind: int, why: str) -> bytes:
-    protocol = _message(method, TMessageType.EXCEPTION, seqid)
-    TApplicationException(kind, why).write(protocol)
+def encode_fault(method: str, seqid: int, kind: int, reason: str) -> bytes:
+    """The frame that answers a message that can't be used. `kind`: of TApplicationException."""
+    protocol = _begin_message(method, TMessageType.EXCEPTION, seqid)
+    TApplicationException(kind, reason).write(protocol)
     return _frame(protocol)
 
 
 def encode_health_probe(seqid: int) -> bytes:
-    protocol = _message("probe", TMessageType.CALL, seqid)
+    """The frame of a health probe, as clients send it."""
+    protocol = _begin_message("probe", TMessageType.CALL, seqid)
     protocol.writeFieldStop()
     return _frame(protocol)
 
 
 def decode_health_probe_reply(frame: bytes) -> bool:
+    """Whether a gateway says that it is healthy. Raises FrameError."""
     protocol = _reader(frame)
     try:
         _, kind, _ = protocol.readMessageBegin()
-        outer = _arguments(protocol, {}, inside={0: {3: TType.BOOL}})
+        outer = _read_arguments(protocol, {}, inside={0: {3: TType.BOOL}})
         return kind == TMessageType.REPLY and bool(outer.get(0, {}).get(3))
     except Exception as error:  # the codec lets errors of many kinds through
         raise FrameError(f"no answer to a probe: {error!r}") from error
--- a/lotusstream/simulation/__main__.py
+++ b/lotusstream/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts many isolated gateways on the bench's wire: `python -m lotusstream.simulation`."""
+"""Hosts many isolated gateways on the simulator's wire: `python -m lotusstream.simulation`."""
 
 from __future__ import annotations
 
@@ -12,83 +12,93 @@
 from lotusstream.policy import Gateway
 from lotusstream.simulation import wire
 
-INVENTORY, VIEW, INIT, EXIT = 6, 9, 10, 11
 EVENT_CODES = range(1, 13)
 
 
 class Instance:
-    """One gateway and what this batch has made it do."""
+    """One gateway, and the actions of its current batch."""
 
     def __init__(self, decoder: wire.EventDecoder) -> None:
         self.decoder = decoder
         self.gateway = Gateway()
         self.actions: list[api.Action] = []
 
-    def tell(self, clock: int, event: api.Event) -> None:
-        self.actions += self.gateway.handle(clock, event)
+    def handle(self, now: int, event: api.Event) -> None:
+        """Passes an event on to the gateway. `now`: microseconds."""
+        self.actions += self.gateway.handle(now, event)
 
 
 class GatewayError(Exception):
     """The decision module raised an exception."""
 
-    def __init__(self, who: int) -> None:
-        super().__init__(who)
-        self.who = who
+    def __init__(self, instance_id: int) -> None:
+        super().__init__(instance_id)
+        self.instance_id = instance_id
 
 
 class Host:
+    """Holds the instances and the endpoint lists that the simulator refers to by number."""
+
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
         self._lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
     def answer(self, batch: wire.Batch, output: BinaryIO) -> None:
+        """Handles the events of a batch and writes the reply. Raises MalformedInputError."""
         try:
-            records = self._play(batch)
+            records = self._handle_batch(batch)
         except GatewayError as error:
             traceback.print_exc()
             text = repr(error.__cause__).encode()
-            wire.write_reply(output, batch, [wire.die_record(error.who, 0, len(text))], text)
+            wire.write_reply(output, batch, [wire.die_record(error.instance_id, 0, len(text))], text)
         else:
             wire.write_reply(output, batch, records)
 
-    def _play(self, batch: wire.Batch) -> list[bytes]:
-        touched: dict[int, None] = {}
+    def _handle_batch(self, batch: wire.Batch) -> list[bytes]:
+        notified: dict[int, None] = {}  # ids of instances with an event in this batch, in their order
         for index in range(batch.count):
             code, body = batch.record(index)
             if code not in EVENT_CODES:
                 raise wire.MalformedInputError(f"batch {batch.number}: unknown event code {code}")
-            if code == INVENTORY:
-                number, offset, count = wire.INVENTORY.unpack_from(body)
-                self._lists[number] = wire.read_entries(batch, offset, count)
+            if code == wire.EventCode.INVENTORY:
+                self._on_inventory(batch, body)
                 continue
-            (who,) = wire.WHO.unpack_from(body)
-            if code == EXIT:
-                self._instances.pop(who, None)
-                touched.pop(who, None)
+            (instance_id,) = wire.INSTANCE_ID.unpack_from(body)
+            if code == wire.EventCode.EXIT:
+                self._instances.pop(instance_id, None)
+                notified.pop(instance_id, None)
                 continue
-            touched[who] = None
-            self._apply(batch, who, code, body)
-        return self._settle(batch.clock, touched)
+            notified[instance_id] = None
+            self._apply(batch, instance_id, code, body)
+        return self._end_batch(batch.clock, notified)
+
+    def _on_inventory(self, batch: wire.Batch, body: bytes) -> None:
+        number, offset, count = wire.INVENTORY.unpack_from(body)
+        self._lists[number] = wire.read_entries(batch, offset, count)
 
-    def _apply(self, batch: wire.Batch, who: int, code: int, body: bytes) -> None:
+    def _apply(self, batch: wire.Batch, instance_id: int, code: int, body: bytes) -> None:
         event: api.Event | None
-        if code == INIT:
-            _, seed, offset, length = wire.INIT.unpack_from(body)
-            event, columns = wire.decode_start(seed, batch.cut(offset, length))
-            self._instances[who] = Instance(wire.EventDecoder(columns))
-        elif who not in self._instances:
+        if code == wire.EventCode.INIT:
+            event = self._start_instance(batch, instance_id, body)
+        elif instance_id not in self._instances:
             raise wire.MalformedInputError(
-                f"batch {batch.number}: event for instance {who}, which is not running"
+                f"batch {batch.number}: event for instance {instance_id}, which is not running"
             )
-        elif code == VIEW:
-            event = self._news(batch, body)
+        elif code == wire.EventCode.VIEW:
+            event = self._read_view(batch, body)
         else:
-            event = self._instances[who].decoder.decode(code, body)
+            event = self._instances[instance_id].decoder.decode(code, body)
         if event is not None:
-            self._tell(who, batch.clock, event)
+            self._handle(instance_id, batch.clock, event)
+
+    def _start_instance(self, batch: wire.Batch, instance_id: int, body: bytes) -> api.GatewayStarted:
+        _, seed, offset, length = wire.INIT.unpack_from(body)
+        started, report_columns = wire.decode_start(seed, batch.cut(offset, length))
+        self._instances[instance_id] = Instance(wire.EventDecoder(report_columns))
+        return started
 
-    def _news(self, batch: wire.Batch, body: bytes) -> api.EndpointListReceived:
-        _, _seq, raw_kind, number = wire.VIEW.unpack_from(body)
+    def _read_view(self, batch: wire.Batch, body: bytes) -> api.EndpointListReceived:
+        _, _sequence, raw_kind, number = wire.VIEW.unpack_from(body)
         kind = wire.LIST_KINDS.get(raw_kind)
         if kind is None:
             raise wire.MalformedInputError(f"batch {batch.number}: unknown kind of view {raw_kind}")
@@ -98,29 +108,31 @@
             raise wire.MalformedInputError(f"batch {batch.number}: list {number} was never given")
         return api.EndpointListReceived(kind, self._lists[number])
 
-    def _tell(self, who: int, clock: int, event: api.Event) -> None:
+    def _handle(self, instance_id: int, now: int, event: api.Event) -> None:
         try:
-            self._instances[who].tell(clock, event)
+            self._instances[instance_id].handle(now, event)
         except Exception as error:
-            raise GatewayError(who) from error
+            raise GatewayError(instance_id) from error
 
-    def _settle(self, clock: int, touched: dict[int, None]) -> list[bytes]:
+    def _end_batch(self, now: int, notified: dict[int, None]) -> list[bytes]:
+        """Ends the batch of each notified instance. Returns the records of all actions."""
         records: list[bytes] = []
-        for who in touched:
-            self._tell(who, clock, api.BatchEnded())
-            instance = self._instances[who]
-            records += [wire.encode_action(who, action) for action in instance.actions]
+        for instance_id in notified:
+            self._handle(instance_id, now, api.BatchEnded())
+            instance = self._instances[instance_id]
+            records += [wire.encode_action(instance_id, action) for action in instance.actions]
             instance.actions = []
         return records
 
 
-def serve(source: BinaryIO, output: BinaryIO, complain: Callable[[str], object]) -> int:
+def serve(source: BinaryIO, output: BinaryIO, write_error: Callable[[str], object]) -> int:
+    """Answers batches until the input ends. Returns the exit status: 1 after malformed input."""
     host = Host()
     try:
         while (batch := wire.read_batch(source)) is not None:
             host.answer(batch, output)
     except (wire.MalformedInputError, struct.error, ValueError, KeyError) as error:
-        complain(f"lotusstream.simulation: malformed input: {error}\n")
+        write_error(f"lotusstream.simulation: malformed input: {error}\n")
         return 1
     return 0
 
--- a/lotusstream/simulation/wire.py
+++ b/lotusstream/simulation/wire.py
@@ -1,4 +1,7 @@
-"""Codec of the bench's wire: batches of events in, replies of actions out. No decision is made here."""
+"""Codec of the simulator's wire: batches of events in, replies of actions out.
+
+The wire's own names and codes are mapped here, and nowhere else. No decision is made here.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,19 @@
 import struct
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import BinaryIO
 
 from lotusstream import interface as api
 from lotusstream.deployment import SettingsError, read_settings
 
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 56, 24, 25
-LIST_COUNT = 16
+EVENT_SIZE = 56  # bytes of a record
+ACTION_SIZE = 24  # bytes of a record
+ENTRY_SIZE = 25  # bytes of an entry of an endpoint list
 
 BATCH_HEADER = struct.Struct("<IQII")
 REPLY_HEADER = struct.Struct("<III")
-WHO = struct.Struct("<I")
+INSTANCE_ID = struct.Struct("<I")
 
 INIT = struct.Struct("<IQII")
 INVENTORY = struct.Struct("<BII")
@@ -39,10 +44,44 @@
 KEEP_INFORMED = struct.Struct("<BIB")
 DIE = struct.Struct("<BIII")
 
-HINT_VALID = 1
-LONGEST_TIME_OUT = 2**32 - 1
+WORK_HINT_IS_VALID = 1  # bit of an order's attributes
+MAX_TIMEOUT_US = 2**32 - 1
+
+
+class EventCode(IntEnum):
+    """First byte of a record of the simulator."""
+
+    PROBE_RESULT = 1
+    RESPONSE = 2
+    UPDATE_OF = 3
+    ORDER = 4
+    INVENTORY = 6
+    CLIENT_GONE = 7
+    RING = 8
+    VIEW = 9
+    INIT = 10
+    EXIT = 11
+
 
-STATES = {0: api.EndpointStatus.DRAINING, 1: api.EndpointStatus.REMOVED, 2: api.EndpointStatus.READY}
+class ActionCode(IntEnum):
+    """First byte of a record of a gateway."""
+
+    RESOURCES = 66
+    ASSIGN = 70
+    FAIL = 71
+    OVERLOAD_REPLY = 72
+    KEEP_INFORMED = 73
+    SET_TIMER = 74
+    SAMPLE = 75
+    DIE = 76
+    WITHDRAW = 77
+
+
+STATUS_BY_HEALTH = {
+    0: api.EndpointStatus.DRAINING,
+    1: api.EndpointStatus.REMOVED,
+    2: api.EndpointStatus.READY,
+}
 LIST_KINDS = {
     0: api.EndpointListKind.DELTA,
     1: api.EndpointListKind.SNAPSHOT,
@@ -57,17 +96,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
+    """The events of one time."""
+
     number: int
-    clock: int
-    records: bytes
-    count: int
-    tail: bytes
+    clock: int  # microseconds
+    records: bytes  # of EVENT_SIZE each
+    count: int  # of the records
+    tail: bytes  # that records refer to by offset and length
 
     def record(self, index: int) -> tuple[int, bytes]:
+        """Code and body of one record."""
         start = index * EVENT_SIZE
         return self.records[start], self.records[start + 1 : start + EVENT_SIZE]
 
     def cut(self, offset: int, length: int) -> bytes:
+        """A part of the tail. Raises MalformedInputError."""
         if offset + length > len(self.tail):
             raise MalformedInputError(f"batch {self.number}: a tail field ends past the tail")
         return self.tail[offset : offset + length]
@@ -81,13 +124,13 @@
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """The next batch, or None where the input has ended."""
+    """The next batch, or None where the input has ended. Raises MalformedInputError."""
     first = stream.read(1)
     if not first:
         return None
     header = first + _read_exactly(stream, BATCH_HEADER.size - 1)
     number, clock, length, count = BATCH_HEADER.unpack(header)
-    body_size = length - WHO.size
+    body_size = length - INSTANCE_ID.size
     if body_size < count * EVENT_SIZE:
         raise MalformedInputError(f"batch {number}: {count} records do not fit in {length} bytes")
     body = _read_exactly(stream, body_size)
@@ -96,22 +139,25 @@
 
 
 def write_reply(stream: BinaryIO, batch: Batch, records: Sequence[bytes], tail: bytes = b"") -> None:
+    """Writes the records of a batch's actions, each padded to ACTION_SIZE."""
     body = b"".join(record.ljust(ACTION_SIZE, b"\0") for record in records) + tail
     stream.write(REPLY_HEADER.pack(batch.number, len(records), len(body)) + body)
     stream.flush()
 
 
-def die_record(who: int, offset: int, length: int) -> bytes:
-    return DIE.pack(76, who, offset, length)
+def die_record(instance_id: int, offset: int, length: int) -> bytes:
+    """The record of an instance that has failed. Its text is that part of the reply's tail."""
+    return DIE.pack(ActionCode.DIE, instance_id, offset, length)
 
 
 def read_entries(batch: Batch, offset: int, count: int) -> tuple[api.EndpointEntry, ...]:
+    """Entries of an endpoint list from the tail. Raises MalformedInputError."""
     data = batch.cut(offset, count * ENTRY_SIZE)
     entries = []
-    for zone, health, started, engine, _weight, cell, kind in ENTRY.iter_unpack(data):
-        if health not in STATES:
+    for zone, health, started_at, endpoint_id, _weight, cell, kind in ENTRY.iter_unpack(data):
+        if health not in STATUS_BY_HEALTH:
             raise MalformedInputError(f"batch {batch.number}: unknown health {health}")
-        entries.append(api.EndpointEntry(engine, STATES[health], zone, cell, kind, started))
+        entries.append(api.EndpointEntry(endpoint_id, STATUS_BY_HEALTH[health], zone, cell, kind, started_at))
     return tuple(entries)
 
 
@@ -127,76 +173,92 @@
 class EventDecoder:
     """Turns one instance's records into events of the interface."""
 
-    def __init__(self, columns: tuple[str, ...]) -> None:
-        self._columns = columns
+    def __init__(self, report_columns: tuple[str, ...]) -> None:
+        """`report_columns`: names of the values of a load report, in their order."""
+        self._report_columns = report_columns
         self._decoders: dict[int, Callable[[bytes], api.Event]] = {
-            1: self._probe_result,
-            2: self._response,
-            3: self._update_of,
-            4: self._order,
-            7: self._client_gone,
-            8: self._ring,
+            EventCode.PROBE_RESULT: self._decode_probe_result,
+            EventCode.RESPONSE: self._decode_response,
+            EventCode.UPDATE_OF: self._decode_progress,
+            EventCode.ORDER: self._decode_order,
+            EventCode.CLIENT_GONE: self._decode_client_gone,
+            EventCode.RING: self._decode_timer,
         }
 
     def decode(self, code: int, body: bytes) -> api.Event | None:
         """The event, or None for begun streams and mail between gateways, which nothing here uses."""
-        return self._decoders[code](body) if code in self._decoders else None
+        decoder = self._decoders.get(code)
+        return None if decoder is None else decoder(body)
 
-    def _report(self, count: int, values: tuple[float, ...]) -> api.LoadReport | None:
+    def _load_report(self, count: int, values: tuple[float, ...]) -> api.LoadReport | None:
         if not count:
             return None
-        told = dict(zip(self._columns, values[:count], strict=False))
-        return api.LoadReport(told.get("active"), told.get("waiting"), told.get("cpu"))
+        by_name = dict(zip(self._report_columns, values[:count], strict=False))
+        return api.LoadReport(by_name.get("active"), by_name.get("waiting"), by_name.get("cpu"))
 
-    def _order(self, body: bytes) -> api.Event:
-        _, call, profile, hint, attrs, memory, grace, group, key = ORDER.unpack_from(body)
-        known = hint if attrs & HINT_VALID else None
-        return api.RequestReceived(call, profile, known, memory or None, grace, int(group), key or None)
+    def _decode_order(self, body: bytes) -> api.Event:
+        _, request_id, profile, hint, attributes, memory_mb, grace, group, key = ORDER.unpack_from(body)
+        work_hint = hint if attributes & WORK_HINT_IS_VALID else None
+        return api.RequestReceived(
+            request_id, profile, work_hint, memory_mb or None, grace, int(group), key or None
+        )
 
-    def _response(self, body: bytes) -> api.Event:
+    def _decode_response(self, body: bytes) -> api.Event:
         fields = RESPONSE.unpack_from(body)
-        _, call, latency, cost, outcome, over, engine, trial, count, *values = fields
-        work = (cost >> 12) * 1000 if cost else None
-        memory = float((cost & 0xFFF) * 4) if cost else None
-        report = self._report(count, tuple(values))
-        how = api.Outcome(outcome)
-        heard = how in api.REPORTED_BY_ENDPOINT
-        return api.AttemptEnded(call, trial, engine, how, latency, bool(over), work, memory, report, heard)
-
-    def _update_of(self, body: bytes) -> api.Event:
-        _, call, amount, kind, trial, engine = UPDATE_OF.unpack_from(body)
+        _, request_id, latency, cost, raw_outcome, is_finished, endpoint_id, attempt, count, *values = fields
+        outcome = api.Outcome(raw_outcome)
+        return api.AttemptEnded(
+            request_id,
+            attempt,
+            endpoint_id,
+            outcome,
+            latency,
+            bool(is_finished),
+            work=(cost >> 12) * 1000 if cost else None,
+            memory_mb=float((cost & 0xFFF) * 4) if cost else None,
+            report=self._load_report(count, tuple(values)),
+            endpoint_responded=outcome in api.REPORTED_BY_ENDPOINT,
+        )
+
+    def _decode_progress(self, body: bytes) -> api.Event:
+        _, request_id, amount, code, attempt, endpoint_id = UPDATE_OF.unpack_from(body)
         waits = api.ProgressKind.WAITS_FOR_LOAD if amount == 2 else api.ProgressKind.WAITS_FOR_MEMORY
-        note = {1: api.ProgressKind.PROGRESS, 2: api.ProgressKind.SPILLS, 3: waits}[kind]
-        return api.AttemptProgressed(call, trial, engine, note, amount)
+        kind = {1: api.ProgressKind.PROGRESS, 2: api.ProgressKind.SPILLS, 3: waits}[code]
+        return api.AttemptProgressed(request_id, attempt, endpoint_id, kind, amount)
 
-    def _client_gone(self, body: bytes) -> api.Event:
-        return api.ClientDisconnected(CLIENT_GONE.unpack_from(body)[1])
+    def _decode_client_gone(self, body: bytes) -> api.Event:
+        _, request_id = CLIENT_GONE.unpack_from(body)
+        return api.ClientDisconnected(request_id)
 
-    def _ring(self, body: bytes) -> api.Event:
-        return api.TimerFired(RING.unpack_from(body)[1])
+    def _decode_timer(self, body: bytes) -> api.Event:
+        _, token = RING.unpack_from(body)
+        return api.TimerFired(token)
 
-    def _probe_result(self, body: bytes) -> api.Event:
-        _, outcome, latency, engine, count, *values = PROBE_RESULT.unpack_from(body)
-        return api.HealthCheckEnded(engine, api.Outcome(outcome), latency, self._report(count, tuple(values)))
+    def _decode_probe_result(self, body: bytes) -> api.Event:
+        _, outcome, latency, endpoint_id, count, *values = PROBE_RESULT.unpack_from(body)
+        report = self._load_report(count, tuple(values))
+        return api.HealthCheckEnded(endpoint_id, api.Outcome(outcome), latency, report)
 
 
-def encode_action(who: int, action: api.Action) -> bytes:
+def encode_action(instance_id: int, action: api.Action) -> bytes:
+    """The record of an action of this instance."""
     match action:
-        case api.StartAttempt(command, engine, time_out):
-            return ASSIGN.pack(70, who, command, engine, min(time_out, LONGEST_TIME_OUT))
-        case api.SetResources(command, grant, priority):
-            return RESOURCES.pack(66, who, command, grant, priority)
-        case api.RejectRequest(command, come_back_after):
-            return OVERLOAD_REPLY.pack(72, who, command, come_back_after)
-        case api.FailRequest(command):
-            return FAIL.pack(71, who, command)
-        case api.CancelAttempt(command, send):
-            return WITHDRAW.pack(77, who, command, send)
-        case api.StartHealthCheck(engine):
-            return SAMPLE.pack(75, who, engine)
+        case api.StartAttempt(request_id, endpoint_id, timeout):
+            timeout = min(timeout, MAX_TIMEOUT_US)
+            return ASSIGN.pack(ActionCode.ASSIGN, instance_id, request_id, endpoint_id, timeout)
+        case api.SetResources(request_id, grant_mb, priority):
+            return RESOURCES.pack(ActionCode.RESOURCES, instance_id, request_id, grant_mb, priority)
+        case api.RejectRequest(request_id, retry_after):
+            return OVERLOAD_REPLY.pack(ActionCode.OVERLOAD_REPLY, instance_id, request_id, retry_after)
+        case api.FailRequest(request_id):
+            return FAIL.pack(ActionCode.FAIL, instance_id, request_id)
+        case api.CancelAttempt(request_id, attempt):
+            return WITHDRAW.pack(ActionCode.WITHDRAW, instance_id, request_id, attempt)
+        case api.StartHealthCheck(endpoint_id):
+            return SAMPLE.pack(ActionCode.SAMPLE, instance_id, endpoint_id)
         case api.SetTimer(at, token):
-            return SET_TIMER.pack(74, who, at, token)
-        case api.SetListSubscription(on):
-            return KEEP_INFORMED.pack(73, who, on)
+            return SET_TIMER.pack(ActionCode.SET_TIMER, instance_id, at, token)
+        case api.SetListSubscription(enabled):
+            return KEEP_INFORMED.pack(ActionCode.KEEP_INFORMED, instance_id, enabled)
         case api.GatewaySnapshot():
-            return b""  # nobody asks here
+            return b""  # nothing here asks for one
--- a/tests/simulation/wire_frames.py
+++ b/tests/simulation/wire_frames.py
@@ -69,7 +69,7 @@
     instance: int
 
     def encode(self, _tail: Tail) -> bytes:
-        return b"\x0b" + wire.WHO.pack(self.instance)
+        return b"\x0b" + wire.INSTANCE_ID.pack(self.instance)
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
     key: int
 
     def encode(self, _tail: Tail) -> bytes:
-        attributes = wire.HINT_VALID if self.cost_hint else 0
+        attributes = wire.WORK_HINT_IS_VALID if self.cost_hint else 0
         return b"\x04" + wire.ORDER.pack(
             self.instance,
             self.request,
@@ -319,7 +319,7 @@
     tail = Tail()
     records = [event.encode(tail).ljust(wire.EVENT_SIZE, b"\0") for event in events]
     body = b"".join(records) + bytes(tail.data)
-    header = wire.BATCH_HEADER.pack(number, clock, wire.WHO.size + len(body), len(records))
+    header = wire.BATCH_HEADER.pack(number, clock, wire.INSTANCE_ID.size + len(body), len(records))
     return header + body
 
 
