--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -45,6 +45,8 @@
 async def test_a_failing_accept_is_counted_and_the_next_connection_is_served(
     monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
+    """`accept` fails once, for one connection or for lack of a resource. The gateway goes on and does not
+    spin."""
     monkeypatch.setattr(socket, "socket", FailingListener)
     server = GatewayServer(configuration())
     await server.start()
@@ -70,6 +72,9 @@
 async def test_a_connection_that_does_not_come_up_proves_that_nothing_ran(
     monkeypatch: pytest.MonkeyPatch, call: str, number: int
 ) -> None:
+    """A system call fails before a connection to an endpoint is up. The error says that nothing was sent,
+    and the descriptor's place is given back."""
+
     def fail(*_given: object) -> None:
         raise OSError(number, os.strerror(number))
 
--- a/tests/net/test_time_waited.py
+++ b/tests/net/test_time_waited.py
@@ -38,6 +38,8 @@
 async def test_a_request_that_came_while_the_loop_was_busy_counts_from_then(
     monkeypatch: pytest.MonkeyPatch, resting: bool
 ) -> None:
+    """A request arrives while the event loop is busy and is read later. Its time counts from its arrival,
+    so that its deadline is kept."""
     server = GatewayServer(configuration())
     taken: list[tuple[ReceivedRequest, int]] = []
     post = server._decider.post
--- a/tests/scale/test_long_lists.py
+++ b/tests/scale/test_long_lists.py
@@ -22,7 +22,8 @@
     return EndpointListUpdate(1, True, entries, 0)
 
 
-def test_a_whole_list_costs_what_differs_and_withdraws_first() -> None:
+def test_a_snapshot_costs_what_it_changes_and_withdraws_first() -> None:
+    """A snapshot changes three endpoints. Only these are applied, those that are not ready first."""
     known = EndpointRegistry(lambda _id, _address: pytest.fail("nothing was sent"), 1)
     known.apply(known.changed_entries(whole(listed(1), listed(2), listed(3))))
     assert known.changed_entries(whole(listed(3), listed(1), listed(2))) == []
@@ -53,7 +54,9 @@
     server.close()
 
 
-async def test_a_list_longer_than_any_leaves_the_last_good_one(world: World) -> None:
+async def test_a_list_longer_than_the_limit_leaves_the_last_good_one(world: World) -> None:
+    """Discovery sends a list that is longer than the gateway reads. It goes on with the list that it
+    has."""
     client = await world.start()
     entries = [world.engines[0].entry("draining") | {"uid": f"s-{number:06d}"} for number in range(60_000)]
     news = {"rev": 2, "notices": [{"rev": 2, "pool": {"rev": 2, "all": True, "targets": entries}}]}
--- a/tests/scale/test_many_servers.py
+++ b/tests/scale/test_many_servers.py
@@ -22,7 +22,11 @@
         rig.drain(servers[step * size : (step + 1) * size])
 
 
-async def test_a_gateway_among_thousands_of_servers_answers_and_follows_their_drains(tmp_path: Path) -> None:
+async def test_a_gateway_among_thousands_of_endpoints_answers_and_follows_their_drains(
+    tmp_path: Path,
+) -> None:
+    """Thousands of endpoints are listed, and two sevenths of them drain while requests run. No rule is
+    broken."""
     rig = Rig(Plan(servers=3200, rate=40, seconds=6, leaves=0.1), tmp_path)
     try:
         await rig.start()
@@ -45,6 +49,8 @@
     ],
 )
 async def test_the_checker_catches_what_is_planted(tmp_path: Path, planted: str, rule: str) -> None:
+    """The gateway runs with a planted defect. The checker must find the rule that it breaks, or finding
+    none elsewhere would prove nothing."""
     rig = Rig(Plan(servers=70, rate=60, seconds=6, leaves=0.3, work=0.3, planted=planted), tmp_path)
     try:
         await rig.start()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,13 +16,16 @@
     return caught.value
 
 
-async def test_a_command_of_several_pages_is_answered_whole_and_in_order(world: World) -> None:
+async def test_a_result_of_several_pages_is_answered_complete_and_in_order(world: World) -> None:
+    """A result comes in pages. The client gets all of them, in their order."""
     client = await world.start()
     world.engines[0].pages = [b"1\tb\tc\n", b"2\t\t\n3\tx\ty\n", b"4\tb\tc\n"]
     assert await client.answer(client.ask()) == (b"".join(world.engines[0].pages), True)
 
 
-async def test_what_the_client_said_goes_on_unchanged(world: World) -> None:
+async def test_what_the_client_sends_is_forwarded_unchanged(world: World) -> None:
+    """The endpoint gets the statement, the call id, the profile and the key as the client sent them, and
+    the time that is left."""
     client = await world.start()
     statement = "INSERT INTO \"sales_3\".t SELECT 'é\n''' FROM staging.b"
     await client.answer(client.ask("load", statement, call="9b1f03aa5c7e2d41", dedupe="5c0f" * 8))
@@ -33,6 +36,7 @@
 
 
 async def test_answers_come_in_any_order(world: World) -> None:
+    """A request that takes long does not delay the answer to a later one of the same client."""
     client = await world.start()
     engine = world.engines[0]
     engine.acts = "holds"
@@ -45,6 +49,8 @@
 
 
 async def test_a_refused_connection_proves_that_nothing_ran(world: World) -> None:
+    """An endpoint refuses connections. Requests of all profiles are retried at another, since nothing was
+    sent."""
     client = await world.start("s-2")
     world.engines[0].die()
     for profile in ("lookup", "load", "booking") * 2:
@@ -53,9 +59,11 @@
 
 
 @pytest.mark.parametrize(("profile", "again"), [("lookup", True), ("load", True), ("booking", False)])
-async def test_a_reset_in_mid_send_is_repeated_only_where_that_is_harmless(
+async def test_a_reset_in_mid_attempt_is_retried_only_where_that_is_safe(
     world: World, profile: str, again: bool
 ) -> None:
+    """An endpoint dies while it runs an attempt. The request is retried only where it is idempotent or has
+    a key."""
     client = await world.start("s-2")
     for engine in world.engines:
         engine.acts = "holds"
@@ -71,7 +79,9 @@
     assert len(second.posts()) == again
 
 
-async def test_a_connection_that_breaks_is_no_end_of_its_query(world: World) -> None:
+async def test_a_connection_that_breaks_does_not_end_its_attempt(world: World) -> None:
+    """The connection breaks while the endpoint runs an attempt. The gateway asks for it again on another
+    one."""
     client = await world.start()
     engine = world.engines[0]
     engine.acts = "holds"
@@ -84,9 +94,11 @@
     assert len(engine.posts()) == 1
 
 
-async def test_a_query_that_its_engine_does_not_know_after_a_break_is_no_error_of_the_engine(
+async def test_an_attempt_that_its_endpoint_does_not_know_after_a_break_is_a_reset(
     world: World,
 ) -> None:
+    """The first response can not be read, and the endpoint does not know the attempt later. It counts as
+    reset: it may have run."""
     client = await world.start()
     engine = world.engines[0]
     engine.once, engine.pages = {0: b"garbage\r\n\r\n"}, [b"1\t2\t3\n"]
@@ -96,27 +108,32 @@
     assert counters["sends reset"] == 1 and "sends error" not in counters
 
 
-async def test_a_silent_engine_costs_a_command_its_time_and_no_more(world: World) -> None:
+async def test_a_silent_endpoint_costs_a_request_its_time_and_no_more(world: World) -> None:
+    """An endpoint never responds. Requests end at their deadline: one that must not be repeated fails, an
+    idempotent one is rejected."""
     client = await world.start()
     world.engines[0].acts = "is silent"
     once, lookup = client.ask("booking", ttl="1500"), client.ask(ttl="1500")
     assert [(await failure(client, seqid)).kind for seqid in (once, lookup)] == ["failed", "shed"]
 
 
-async def test_a_lost_page_is_an_error_of_the_send(world: World) -> None:
+async def test_a_lost_page_is_an_error_of_the_attempt(world: World) -> None:
+    """A page of the result can not be had. The request fails, since it has been executed."""
     client = await world.start()
     world.engines[0].acts, world.engines[0].pages = "loses pages", [b"1\t2\t3\n"] * 2
     assert (await failure(client, client.ask("booking"))).kind == "failed"
 
 
-async def test_full_engines_are_tried_again_and_then_shed_with_advice(world: World) -> None:
+async def test_full_endpoints_are_retried_and_then_shed_with_retry_after(world: World) -> None:
+    """All endpoints are full. The request is retried, and rejected with a Retry-After in time."""
     client = await world.start()
     world.engines[0].acts = "is full"
     shed = await failure(client, client.ask("booking", ttl="1000"))
     assert shed.kind == "shed" and shed.fields == {"pushback": "500"}
 
 
-async def test_nothing_new_goes_to_a_draining_engine(world: World) -> None:
+async def test_nothing_new_goes_to_a_draining_endpoint(world: World) -> None:
+    """An endpoint begins to drain. All further requests go to the other one."""
     client = await world.start("s-2")
     first, second = world.engines
     world.board.tell(first.entry("draining"))
@@ -126,7 +143,9 @@
     assert len(first.posts()) == 0 and len(second.posts()) == 8
 
 
-async def test_an_address_that_returns_as_another_engine_gets_new_connections(world: World) -> None:
+async def test_an_address_that_returns_as_another_endpoint_gets_new_connections(world: World) -> None:
+    """An endpoint is removed and another one is listed at its address. Connections to the old one are not
+    used."""
     client = await world.start()
     old = world.engines[0]
     await client.answer(client.ask())
@@ -140,7 +159,9 @@
     assert len(new.posts()) == 1
 
 
-async def test_an_idle_connection_that_the_engine_closed_carries_no_send(world: World) -> None:
+async def test_an_idle_connection_that_the_endpoint_closed_carries_no_attempt(world: World) -> None:
+    """An endpoint has closed an idle connection. It is not used for the next request, which would be
+    lost."""
     client = await world.start()
     engine = world.engines[0]
     await client.answer(client.ask())
@@ -150,7 +171,8 @@
     assert len(engine.posts()) == 2 and (await world.counters()).get("calls broken", 0) == 0
 
 
-async def test_a_poll_that_falls_silent_is_made_anew_before_its_news_counts_as_told(world: World) -> None:
+async def test_a_silent_poll_is_repeated_before_its_events_are_expected_to_be_known(world: World) -> None:
+    """Discovery never responds to a poll. It is repeated early enough to know of a drain in time."""
     world.board.raw = b""
     await world.start("s-2")
     began = asyncio.get_running_loop().time()
@@ -162,7 +184,8 @@
     assert len(world.engines[1].posts()) == 1
 
 
-async def test_a_board_whose_numbers_begin_anew_is_asked_for_all(world: World) -> None:
+async def test_discovery_whose_revisions_begin_anew_is_asked_for_a_snapshot(world: World) -> None:
+    """Discovery restarts and counts its revisions anew. The gateway asks for the complete list."""
     client = await world.start("s-2")
     world.board.tell()
     await world.board.calls.until(lambda call: "watch=2&" in call.path)
@@ -174,7 +197,11 @@
     assert len(world.engines[1].posts()) == 1
 
 
-async def test_a_reload_follows_the_new_board_at_once_and_goes_on_with_the_numbers(world: World) -> None:
+async def test_a_reload_follows_the_new_discovery_address_at_once_and_keeps_the_revision(
+    world: World,
+) -> None:
+    """The configuration names another discovery address. It is polled at once, from the last revision on,
+    and requests go on."""
     client = await world.start("s-2")
     world.engines[0].acts = world.engines[1].acts = "holds"
     held = client.ask()
@@ -203,6 +230,7 @@
 async def test_a_configuration_that_cannot_be_taken_leaves_all_as_it_was(
     world: World, change: dict[str, object] | None
 ) -> None:
+    """A reload changes more than the discovery address, or can not be read. Nothing of it is taken."""
     client = await world.start()
     path = world.configure(board="127.0.0.1:9", **change or {})
     if change is None:
@@ -217,6 +245,7 @@
 
 
 async def test_a_killed_gateway_starts_again_at_its_address(world: World) -> None:
+    """A gateway is killed with a request open. It starts again at its address and serves."""
     client = await world.start()
     world.engines[0].acts = "holds"
     client.ask()
@@ -230,7 +259,8 @@
     assert (await again.answer(again.ask()))[1]
 
 
-async def test_a_client_that_gives_up_is_owed_nothing_and_its_send_is_deleted(world: World) -> None:
+async def test_a_client_that_withdraws_gets_no_answer_and_its_attempt_is_deleted(world: World) -> None:
+    """A client withdraws a request. Its attempt is cancelled at the endpoint and no answer is written."""
     client = await world.start()
     engine = world.engines[0]
     engine.acts = "holds"
@@ -242,7 +272,9 @@
     assert seqid not in client.answers
 
 
-async def test_connections_that_only_hold_on_give_way_to_those_that_ask(world: World) -> None:
+async def test_idle_connections_are_closed_for_those_with_requests(world: World) -> None:
+    """More clients connect than there are descriptors for. Idle and silent connections are closed for new
+    ones; one with an open request is not."""
     world.limits["sockets"] = 96  # 35 of them for clients
     client = await world.start()
     engine = world.engines[0]
@@ -259,7 +291,8 @@
     assert counters["answered lookup"] == 41 and counters["client connections closed as idle"] >= 81 - 35
 
 
-async def test_no_room_is_made_by_connections_with_an_open_command(world: World) -> None:
+async def test_no_connection_with_an_open_request_is_closed_for_another(world: World) -> None:
+    """All clients have open requests. A further connection is closed instead of theirs."""
     world.limits["sockets"] = 96
     world.engines[0].acts = "holds"
     await world.start()
@@ -274,7 +307,8 @@
     assert not any(client.closed.is_set() for client in busy)
 
 
-async def test_a_connection_without_a_whole_message_is_closed_in_time(world: World) -> None:
+async def test_a_connection_without_a_complete_message_is_closed_in_time(world: World) -> None:
+    """Clients connect and send nothing, or the beginning of a message. They are closed in time."""
     client = await world.start()
     world.engines[0].acts = "holds"
     client.ask(ttl="20000")
@@ -287,6 +321,7 @@
 
 
 async def test_a_client_that_leaves_leaves_nothing_running(world: World) -> None:
+    """A client disconnects while its request runs. The attempt is cancelled."""
     client = await world.start()
     world.engines[0].acts = "holds"
     client.ask()
@@ -296,7 +331,8 @@
     assert (await world.counters())["left lookup"] == 1
 
 
-async def test_a_planned_stop_answers_all_in_time_and_ends_well(world: World) -> None:
+async def test_a_graceful_shutdown_answers_all_in_time_and_ends_well(world: World) -> None:
+    """The gateway is told to stop with requests open, and more arrive. All get a reply before it ends."""
     client = await world.start()
     world.engines[0].held = {"00000000000000aa", "00000000000000bb"}
     long = client.ask("booking", call="00000000000000aa")
@@ -314,7 +350,9 @@
     assert "answered lookup 1" in world.log.items
 
 
-async def test_while_it_stops_a_gateway_closes_no_connection_that_may_still_ask(world: World) -> None:
+async def test_during_a_shutdown_no_idle_connection_is_closed_for_another(world: World) -> None:
+    """Clients that do not know of the shutdown yet may still send on their idle connections. None is closed
+    for a new one."""
     world.limits["sockets"] = 96  # 35 of them for clients
     client = await world.start()
     world.engines[0].held = {"00000000000000aa"}
@@ -334,6 +372,7 @@
 
 
 async def test_an_idle_gateway_stops_soon(world: World) -> None:
+    """Nothing is open when the gateway is told to stop. It ends with status 0."""
     client = await world.start()
     await client.answer(client.ask())
     assert world.program is not None
@@ -341,7 +380,8 @@
     assert await world.ended() == 0
 
 
-async def test_a_full_descriptor_budget_ends_sends_as_not_run(world: World) -> None:
+async def test_a_full_descriptor_budget_ends_attempts_as_not_executed(world: World) -> None:
+    """There are more requests than descriptors. Attempts without one end as surely not executed."""
     world.limits["sockets"] = 40
     client = await world.start()
     world.engines[0].acts = "holds"
@@ -352,7 +392,8 @@
     assert world.engines[0].connections < 30
 
 
-async def test_large_statements_are_refused_past_the_memory_for_them(world: World) -> None:
+async def test_large_statements_are_rejected_past_the_memory_for_them(world: World) -> None:
+    """Open requests have taken the memory for statements. The next is rejected."""
     world.limits["memory_mb"] = 1
     client = await world.start()
     world.engines[0].acts = "holds"
@@ -362,6 +403,8 @@
 
 
 async def test_a_client_that_does_not_read_is_cut_off_and_harms_nobody(world: World) -> None:
+    """A client sends requests and never reads. It is disconnected at the memory limit, and others are
+    served."""
     world.limits["memory_mb"] = 1
     client = await world.start()
     world.engines[0].pages = [(b"x" * 1000 + b"\t\t\n") * 5] * 9
@@ -387,6 +430,7 @@
     ids=["not strict", "empty", "another version", "an endless name"],
 )
 async def test_a_stream_that_is_no_thrift_costs_that_connection_alone(world: World, frame: bytes) -> None:
+    """A client sends what is no message. Its connection is closed, and others are served."""
     client = await world.start()
     bad = await world.client()
     bad.raw(frame)
@@ -396,6 +440,7 @@
 
 @pytest.mark.parametrize("length", [-1, 2**31 - 1])
 async def test_a_frame_of_impossible_length_costs_that_connection_alone(world: World, length: int) -> None:
+    """A client sends a negative or huge length. Its connection is closed, and others are served."""
     client = await world.start()
     bad = await world.client()
     bad.writer.write(length.to_bytes(4, "big", signed=True))
@@ -411,22 +456,29 @@
     ],
     ids=str,
 )  # fmt: skip
-async def test_unusable_fields_are_answered_and_reach_no_engine(world: World, fields: dict[str, str]) -> None:
+async def test_unusable_fields_are_answered_and_reach_no_endpoint(
+    world: World, fields: dict[str, str]
+) -> None:
+    """A field is missing, malformed, or would inject a header. The client gets a fault, and no endpoint is
+    called."""
     client = await world.start()
     assert (await failure(client, client.ask(**fields))).kind == "fault"
     assert (await client.answer(client.ask()))[1] and len(world.engines[0].posts()) == 1
 
 
 @pytest.mark.parametrize("statement", [b"SELECT \xff FROM sales_3.t", b"SELECT 1", b""])
-async def test_a_statement_without_a_group_is_answered_and_reaches_no_engine(
+async def test_a_statement_without_a_group_is_answered_and_reaches_no_endpoint(
     world: World, statement: bytes
 ) -> None:
+    """A statement is no UTF-8 or names no table group. The client gets a fault, and no endpoint is
+    called."""
     client = await world.start()
     assert (await failure(client, client.ask(statement=statement))).kind == "fault"
     assert not world.engines[0].calls.items
 
 
 async def test_messages_of_other_shapes_are_answered_where_their_number_is_known(world: World) -> None:
+    """Messages are deeply nested, declare huge sizes, or have an unknown method. Each gets a fault."""
     client = await world.start()
 
     def nested(protocol: object) -> None:
@@ -446,7 +498,8 @@
     assert await client.probe()
 
 
-async def test_a_33rd_open_command_is_answered_at_once(world: World) -> None:
+async def test_a_33rd_open_request_is_answered_at_once(world: World) -> None:
+    """A client has as many open requests as the protocol allows. The next gets a fault at once."""
     client = await world.start()
     world.engines[0].acts = "holds"
     seqids = [client.ask() for _ in range(33)]
@@ -454,6 +507,8 @@
 
 
 async def test_a_number_used_again_while_open_ends_that_connection(world: World) -> None:
+    """A client uses the sequence number of an open request. It could not tell the answers apart, so its
+    connection is closed."""
     client = await world.start()
     world.engines[0].acts = "holds"
     client.ask()
@@ -477,7 +532,11 @@
     ],
     ids=["no http", "pages", "cut row", "columns", "long page", "endless", "chunks", "503", "504", "777"],
 )  # fmt: skip
-async def test_an_engine_that_talks_nonsense_may_have_run_the_command(world: World, raw: bytes) -> None:
+async def test_an_endpoint_with_malformed_responses_may_have_executed_the_request(
+    world: World, raw: bytes
+) -> None:
+    """Responses of an endpoint are malformed. A request that must not be repeated fails, since it may have
+    run."""
     client = await world.start()
     world.engines[0].acts, world.engines[0].raw = "raw", raw
     assert (await failure(client, client.ask("booking"))).kind == "failed"
@@ -506,9 +565,11 @@
     ],
     ids=["early", "twice", "noise after", "cut", "3 GB", "columns", "short length", "503", "none"],
 )
-async def test_an_answer_that_came_spoilt_or_with_more_is_not_asked_of_another_send(
+async def test_a_response_that_came_malformed_or_with_more_is_asked_for_again(
     world: World, number: int, good: bytes, spoil: Callable[[bytes], bytes]
 ) -> None:
+    """A response is malformed, or followed by other bytes. It is asked for again and the attempt is not
+    repeated; what came with it is not taken for the next response."""
     client = await world.start()
     engine = world.engines[0]
     engine.pages = [b"1\t2\t3\n", b"4\t5\t6\n"]
@@ -528,7 +589,9 @@
     ],
     ids=["500", "cut", "a list", "deep", "a gap", "begun anew", "odd entries"],
 )  # fmt: skip
-async def test_a_board_that_talks_nonsense_is_asked_again(world: World, raw: bytes) -> None:
+async def test_discovery_with_malformed_responses_is_polled_again(world: World, raw: bytes) -> None:
+    """Responses of discovery are malformed or out of order. It is polled again, and the list is
+    followed."""
     await world.start("s-2")
     world.board.raw = raw
     world.board._changed.set()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,7 @@
 
 from lotusstream.policy import Gateway
 from lotusstream.simulation import wire
-from lotusstream.simulation.__main__ import Host as Drill
-from lotusstream.simulation.__main__ import serve
+from lotusstream.simulation.__main__ import Host, serve
 
 ENGINE = bytes.fromhex("0a124a07431f")
 ORDER = bytes.fromhex(
@@ -45,17 +44,20 @@
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
+    """The simulator waits for a reply to each batch, also to one without events."""
     output = io.BytesIO()
     assert serve(io.BytesIO(frame(number=1)), output, print) == 0
     assert output.getvalue() == struct.pack("<III", 1, 0, 0)
 
 
-def test_an_order_is_sent_in_the_batch_that_brings_it() -> None:
+def test_an_attempt_starts_in_the_batch_that_brings_its_request() -> None:
+    """A request is decided when its batch ends and not a batch later."""
     _, replies, _ = play(frame(INIT, INVENTORY, VIEW, ORDER, tail=ENTRY + SETTINGS))
     assert 70 in replies[0]
 
 
 def test_a_stop_and_a_fresh_start_in_one_batch_leave_nothing_of_the_old() -> None:
+    """An instance exits and starts anew in one batch. Nothing that its predecessor knew has an effect."""
     first = frame(INIT, INVENTORY, VIEW, ORDER, tail=ENTRY + SETTINGS)
     again = frame(ORDER, b"\x0b\x03\0\0\0", INIT, INVENTORY, VIEW, tail=ENTRY + SETTINGS)
     _, replies, _ = play(first, again)
@@ -63,6 +65,8 @@
 
 
 def test_a_list_number_means_the_list_given_last_before_its_use() -> None:
+    """The simulator gives another list under the same number. A view refers to the one given last before
+    it."""
     other = struct.pack("<HBQ6sfHH", 0, 0, 0, ENGINE, 1.0, 0, 0)
     later = b"\x06" + struct.pack("<BII", 0, 25 + len(SETTINGS), 1)
     _, replies, _ = play(frame(INIT, INVENTORY, VIEW, later, ORDER, tail=ENTRY + SETTINGS + other))
@@ -70,12 +74,16 @@
 
 
 @pytest.mark.parametrize("data", [frame(ORDER)[:-5], frame(b"\x63"), frame(ORDER)])
-def test_malformed_input_is_told_and_ends_the_host(data: bytes) -> None:
+def test_malformed_input_is_reported_and_ends_the_host(data: bytes) -> None:
+    """The input is cut, has an unknown code or names an instance that is not running. The host says so and
+    ends with status 1."""
     status, _, complaints = play(data)
     assert status == 1 and "malformed input" in complaints[0]
 
 
 def test_an_exception_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decision module raises. The reply says that the instance has died, and why."""
+
     def broken(*_: object) -> None:
         raise IndexError("out of range")
 
@@ -83,5 +91,5 @@
     output = io.BytesIO()
     batch = wire.read_batch(io.BytesIO(frame(INIT, tail=ENTRY + SETTINGS)))
     assert batch is not None
-    Drill().answer(batch, output)
+    Host().answer(batch, output)
     assert codes(output.getvalue()) == [76] and b"out of range" in output.getvalue()
