--- a/lotusstream/cells/migration.py
+++ b/lotusstream/cells/migration.py
@@ -40,7 +40,7 @@
 
 FINAL_STEPS = (MigrationStep.DONE, MigrationStep.ROLLED_BACK)
 IRREVERSIBLE_STEPS = (MigrationStep.SWITCHED, *FINAL_STEPS)
-HOLDING_STEPS = (
+FENCED_STEPS = (
     MigrationStep.FENCED,
     MigrationStep.DRAINING,
     MigrationStep.COOLING_DOWN,
@@ -73,7 +73,7 @@
     @property
     def holds_new_requests(self) -> bool:
         """Whether new requests of the tenant are held instead of being placed in a cell."""
-        return self.step in HOLDING_STEPS
+        return self.step in FENCED_STEPS
 
 
 @dataclass(frozen=True, slots=True)
