--- a/tests/levels/rig.py
+++ b/tests/levels/rig.py
@@ -50,14 +50,23 @@
 
 
 def started(seed: int = 7) -> api.GatewayStarted:
-    duties = api.RuleLimits(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, 0.0, 0.0, 0, 10 * S)
-    allowed = api.Capabilities(4, True, True, False, False, True, 500 * MS, False)
+    limits = api.RuleLimits(20 * MS, 0.3, 15 * S, 3.0, S, 300 * MS, 0.0, 0.0, 0, 10 * S)
+    capabilities = api.Capabilities(4, True, True, False, False, True, 500 * MS, False)
     return api.GatewayStarted(
-        seed, 1, 5 * MS, (LOOKUP, REPORT), (api.EndpointKind(CORES, 0.0),) * 2, 1.0, 0, False, allowed, duties
+        seed,
+        1,
+        5 * MS,
+        (LOOKUP, REPORT),
+        (api.EndpointKind(CORES, 0.0),) * 2,
+        1.0,
+        0,
+        False,
+        capabilities,
+        limits,
     )
 
 
-def belief(name: int, kind: int = 0, **changes: object) -> api.EndpointSnapshot:
+def endpoint_snapshot(name: int, kind: int = 0, **changes: object) -> api.EndpointSnapshot:
     plain = api.EndpointSnapshot(
         bytes([name] * 6),
         api.EndpointStatus.READY,
@@ -78,24 +87,24 @@
     return replace(plain, **changes)
 
 
-FLEET = (belief(1), belief(2), belief(3, 1), belief(4, 1))
+ENDPOINTS = (endpoint_snapshot(1), endpoint_snapshot(2), endpoint_snapshot(3, 1), endpoint_snapshot(4, 1))
 
 
 class Rig:
     """`flow` lets time pass with so much load on the engines that are there."""
 
     def __init__(self, of: Ladder | None = None, seed: int = 7) -> None:
-        self.keeper = LevelController(of or ladder(), started(seed), NAMES)
-        self.now, self.ids, self.owed = S, itertools.count(1), 0.0
-        self.engines: tuple[api.EndpointSnapshot, ...] = FLEET
-        self.told: list[api.DegradationChanged] = []
+        self.controller = LevelController(of or ladder(), started(seed), NAMES)
+        self.now, self.ids, self.due_requests = S, itertools.count(1), 0.0
+        self.endpoints: tuple[api.EndpointSnapshot, ...] = ENDPOINTS
+        self.changes_reported: list[api.DegradationChanged] = []
 
-    def tell(self, event: api.Event | api.Action | LevelEvent) -> None:
-        for answer in self.keeper.handle(self.now, event):
+    def handle(self, event: api.Event | api.Action | LevelEvent) -> None:
+        for answer in self.controller.handle(self.now, event):
             if isinstance(answer, api.SnapshotRequested):
-                self.keeper.handle(self.now, api.GatewaySnapshot(self.engines, 1.0, 1.0, False, 0, 0))
+                self.controller.handle(self.now, api.GatewaySnapshot(self.endpoints, 1.0, 1.0, False, 0, 0))
             elif isinstance(answer, api.DegradationChanged):
-                self.told.append(answer)
+                self.changes_reported.append(answer)
 
     def flow(self, seconds: float, load: float | Callable[[float], float], *, profile: int = 0,
              shed: float = 0.0, late: float = 0.0,
@@ -107,27 +116,29 @@
             if until is not None and until():
                 break
             share = load(at * step / S) if callable(load) else load
-            self.owed += share * CORES * len(FLEET) * step / WORK
-            while self.owed >= 1:
-                self.owed -= 1
+            self.due_requests += share * CORES * len(ENDPOINTS) * step / WORK
+            while self.due_requests >= 1:
+                self.due_requests -= 1
                 self._one(profile, shed, late)
             self.now = began + (at + 1) * step
-            self.tell(api.BatchEnded())
+            self.handle(api.BatchEnded())
         return self
 
     def _one(self, profile: int, shed: float, late: float) -> None:
-        command = next(self.ids)
-        self.tell(api.RequestReceived(command, profile, WORK, None, 6 * S, 1, None))
-        if command % 100 < 100 * shed:
-            self.tell(api.RejectRequest(command, 0))
-        elif command % 100 < 100 * (shed + late):
-            self.tell(api.FailRequest(command))
+        request_id = next(self.ids)
+        self.handle(api.RequestReceived(request_id, profile, WORK, None, 6 * S, 1, None))
+        if request_id % 100 < 100 * shed:
+            self.handle(api.RejectRequest(request_id, 0))
+        elif request_id % 100 < 100 * (shed + late):
+            self.handle(api.FailRequest(request_id))
         else:
-            self.tell(api.StartAttempt(command, self.engines[0].endpoint_id if self.engines else b"", 6 * S))
+            self.handle(
+                api.StartAttempt(request_id, self.endpoints[0].endpoint_id if self.endpoints else b"", 6 * S)
+            )
             ended = api.AttemptEnded(
-                command, 0, b"", api.Outcome.ANSWERED, WORK, True, WORK, None, None, True
+                request_id, 0, b"", api.Outcome.ANSWERED, WORK, True, WORK, None, None, True
             )
-            self.tell(ended)
+            self.handle(ended)
 
     def rises(self, level: str) -> Rig:
         """Calm, then so much that this level comes first."""
@@ -139,26 +150,26 @@
     def sleeps(self, seconds: float) -> Rig:
         """The loop stands still, or the machine sleeps."""
         self.now += int(seconds * S)
-        self.tell(api.BatchEnded())
+        self.handle(api.BatchEnded())
         return self
 
     @property
     def level(self) -> str:
-        return self.keeper.status().level
+        return self.controller.status().level
 
     @property
     def admitted(self) -> float:
-        return self.keeper.status().admitted_ratios["lookup"]
+        return self.controller.status().admitted_ratios["lookup"]
 
     def signal(self, name: str) -> float | None:
         return next(
             (signal.value.value if signal.value else None)
-            for signal in self.keeper.status().signals
+            for signal in self.controller.status().signals
             if signal.name == name
         )
 
     def changes(self) -> list[int]:
-        return [change.changed_at for change in self.keeper.history]
+        return [change.changed_at for change in self.controller.history]
 
 
 def most_within(times: list[int], span: int) -> int:
--- a/tests/levels/test_fleet.py
+++ b/tests/levels/test_fleet.py
@@ -18,6 +18,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_flood_and_dying_engines_cost_lookups_and_no_reports(seed: int) -> None:
+    """Lookups flood the fleet while three of six endpoints crash. The ladder must reduce the lookups, keep
+    the reports, and keep more benefit than full service does."""
     module = with_ladder(shipped(), started(seed))
     out = Fleet(DAY, seed, module).run()
     without = Fleet(DAY, seed, plain(started(seed))).run()
@@ -27,6 +29,7 @@
 
 
 def test_cold_engines_that_return_into_high_demand_bring_no_second_fall() -> None:
+    """Endpoints return in slow start while the flood lasts. Service must not break down a second time."""
     module = with_ladder(shipped(), started(1))
     out = Fleet(DAY, 1, module).run()
     served = [sum(out.met[at]) / sum(out.asked[at]) for at in range(80)]
