--- a/lotusstream/net/control_views.py
+++ b/lotusstream/net/control_views.py
@@ -6,13 +6,108 @@
 
 from __future__ import annotations
 
+import dataclasses
 from collections.abc import Sequence
 from typing import Any
 
+from lotusstream import __version__
+from lotusstream import interface as api
 from lotusstream.cells.migration import Migration
 from lotusstream.cells.status import CellsStatus, CellStatus
+from lotusstream.levels.controller import LevelController
 from lotusstream.levels.history import ChangeHistory, LevelChange, SignalReading
 from lotusstream.levels.status import LevelsStatus, LevelStatus, SignalStatus
+from lotusstream.net.decider_messages import OperatorView
+from lotusstream.observe.own import OwnUse
+
+
+def status_view(
+    name: str,
+    uptime: int,
+    levels: LevelController | None,
+    snapshot: api.GatewaySnapshot,
+    own_use: OwnUse,
+    operator_file: str,
+) -> dict[str, Any]:
+    """Returns the answer to `status`.
+
+    :param name: of the gateway
+    :param uptime: microseconds
+    :param levels: None: there is no ladder
+    :param snapshot: of the decision module
+    :param own_use: of the gateway's process
+    :param operator_file: its path
+    """
+    return {
+        "gateway": name,
+        "version": __version__,
+        "up_us": uptime,
+        "level": levels.status().level if levels else None,
+        "level_why": _last_change_text(levels) if levels else None,
+        "engines": _endpoint_counts(snapshot),
+        "commands": {"open": snapshot.open_requests, "held": snapshot.queued_requests},
+        "share": snapshot.share,
+        "pace": snapshot.baseline_ratio,
+        "strained": snapshot.overloaded,
+        "own": {
+            "core": own_use.core,
+            "memory": own_use.memory,
+            "descriptors": own_use.descriptors,
+        },
+        "operator_file": operator_file,
+    }
+
+
+def _endpoint_counts(snapshot: api.GatewaySnapshot) -> dict[str, int]:
+    ready = [each for each in snapshot.endpoints if each.status is api.EndpointStatus.READY]
+    usable = [each for each in ready if each.ejected_until is None]
+    return {
+        "listed": len(snapshot.endpoints),
+        "usable": len(usable),
+        "cold": sum(each.slow_start_until is not None for each in usable),
+        "aside": sum(each.ejected_until is not None for each in ready),
+    }
+
+
+def _last_change_text(levels: LevelController) -> str:
+    change = levels.history.latest()
+    return str(change) if change else "full service since the start"
+
+
+def endpoints_view(view: OperatorView) -> list[dict[str, Any]]:
+    """Returns the answer to `engines`."""
+    return [_endpoint_view(view, endpoint) for endpoint in view.snapshot.endpoints]
+
+
+def _endpoint_view(view: OperatorView, endpoint: api.EndpointSnapshot) -> dict[str, Any]:
+    kind = endpoint.kind
+    return {
+        "engine": _id_text(endpoint.endpoint_id),
+        "address": view.addresses.get(endpoint.endpoint_id),
+        "state": endpoint.status.value,
+        "kind": view.kinds[kind] if kind < len(view.kinds) else str(kind),
+        "cores": endpoint.cores,
+        "threads": endpoint.threads,
+        "sends": endpoint.in_flight,
+        "loads": endpoint.loads,
+        "pace": endpoint.latency_ratio,
+        "pressed": endpoint.overloaded,
+        "credit": endpoint.retry_credit,
+        "failures": endpoint.failures,
+        "aside_us": _time_left(view.now, endpoint.ejected_until),
+        "cold_us": _time_left(view.now, endpoint.slow_start_until),
+    }
+
+
+def _time_left(now: int, until: int | None) -> int | None:
+    return max(0, until - now) if until else None
+
+
+def requests_view(view: OperatorView, max_requests: int) -> dict[str, Any]:
+    """Returns the answer to `commands`: the oldest requests, at most `max_requests`."""
+    oldest = sorted(view.requests, key=lambda request: request.age, reverse=True)
+    shown = [dataclasses.asdict(request) for request in oldest[: max(0, max_requests)]]
+    return {"open": len(view.requests), "shown": shown}
 
 
 def levels_view(now: int, status: LevelsStatus, history: ChangeHistory, max_changes: int) -> dict[str, Any]:
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -23,6 +23,7 @@
     from lotusstream.levels.controller import LevelController
     from lotusstream.net.control import ControlServer
     from lotusstream.net.fleet import Fleet
+    from lotusstream.net.level_feed import LevelFeed
     from lotusstream.net.operator_service import OperatorService
 
 
@@ -216,34 +217,41 @@
         fleet: FleetSubsystem | None,
     ) -> None:
         super().__init__(around)
-        self._cells, self._levels, self._fleet = cells, levels, fleet
-        self.operated: OperatorService | None = None
+        self._cells = cells
+        self._levels = levels
+        self._fleet = fleet
+        self.service: OperatorService | None = None
+        self._feed: LevelFeed | None = None
         self._server: ControlServer | None = None
         socket = around.file.control
         self.descriptors = socket.clients + 2 if socket else 0
 
     def tie(self, decider: Decider) -> None:
-        from lotusstream.net.operator_service import OperatorService, control_server
+        from lotusstream.net.level_feed import LevelFeed, OwnUseSampler
+        from lotusstream.net.operator_service import OperatedParts, OperatorService, control_server
         from lotusstream.observe.own import OwnUseReader
 
         file, given, supervisor = self.around.file, self.around.given, self.around.supervisor
-        own = OwnUseReader(given.cores, given.memory, given.descriptors)
-        levels = self._levels.keeper if self._levels else None
-        cells = self._cells.keeper if self._cells else None
-        fleet = self._fleet.fleet if self._fleet else None
+        parts = OperatedParts(
+            levels=self._levels.keeper if self._levels else None,
+            cells=self._cells.keeper if self._cells else None,
+            fleet=self._fleet.fleet if self._fleet else None,
+        )
+        own_use = OwnUseSampler(OwnUseReader(given.cores, given.memory, given.descriptors))
         clock = self.around.clock
-        self.operated = OperatorService(file, given, levels, cells, fleet, decider, own, clock, supervisor)
-        self._server = control_server(file, self.operated, supervisor)
+        self.service = OperatorService(file, given, parts, decider, own_use, clock, supervisor)
+        self._server = control_server(file, self.service, supervisor)
+        if parts.levels is not None or parts.cells is not None:
+            self._feed = LevelFeed(parts.levels, decider, own_use, supervisor)
 
     def start(self) -> None:
-        assert self.operated is not None
         if self._server is not None:
             try:
                 self._server.start()
             except Exception as error:
                 raise ConfigurationError(f"control: {error}") from error
-        if self.operated.ticks:
-            self.around.supervisor.start_restarting("levels", self.operated.feed)
+        if self._feed is not None:
+            self.around.supervisor.start_restarting("levels", self._feed.run)
 
     async def stop(self) -> None:
         if self._server is not None:
@@ -305,23 +313,23 @@
     def reload(self, read: Callable[[], OperatorFile]) -> None:
         """Takes another operator file while running, or nothing of one that can't be used or changes what
         can't change. `read` raises UnusableOperatorFile."""
-        operated = self.control.operated
-        assert operated is not None
+        service = self.control.service
+        assert service is not None
         counters, log = self._supervisor.counters, self._supervisor.log
         try:
             new = read()
-            if fixed := fixed_differences(operated.file, new):
+            if fixed := fixed_differences(service.file, new):
                 raise OperatorFileError.alone(new.path, f"can't change while running: {', '.join(fixed)}")
         except OperatorFileError as error:  # what was in force stays
             counters.add("operator files refused")
             log.write("operator", f"not taken: {'; '.join(map(str, error.problems))}", "error")
             return
         counters.add("operator files read again")
-        if new.log is not None and new.log != operated.file.log:
+        if new.log is not None and new.log != service.file.log:
             from lotusstream.observe.log import structured
 
             log.use(structured(new.log.form, new.log.threshold, self._name))
-        operated.reload(new)
+        service.reload(new)
         if self.fleet is not None:
             self.fleet.anew(new)
         log.write("operator", f"{new.path} was read again", "info")
