--- a/lotusstream/net/decider.py
+++ b/lotusstream/net/decider.py
@@ -120,7 +120,8 @@
         """Notifies the module of all that is known by now, and then has its actions carried out in their
         order. Ends, departures and withdrawals go before new requests, and of these no more than fit a batch:
         the others wait for the next, and the module is notified for how long."""
-        self._now = self._last_batch_at = max(self._now, self._clock.now())
+        self._now = max(self._now, self._clock.now())
+        self._last_batch_at = self._now
         actions: list[api.Action] = []
         while (message := self.mailbox.take()) is not None:
             actions += self._process(message)
--- a/lotusstream/protocol/control.py
+++ b/lotusstream/protocol/control.py
@@ -7,11 +7,13 @@
 
 import msgspec
 
+from lotusstream.protocol.errors import ProtocolError
+
 LENGTH = struct.Struct("!I")
 LONGEST_REPLY = 16 << 20
 
 
-class ControlRequestError(Exception):
+class ControlRequestError(ProtocolError):
     """What came is no request; the connection can't be read on where `fatal`."""
 
     def __init__(self, why: str, *, fatal: bool) -> None:
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -20,6 +20,7 @@
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.healthcheck.reports import HealthReports
 from lotusstream.leases.table import LeaseOperation, LeaseResult
+from lotusstream.protocol.errors import ProtocolError
 from lotusstream.quorum.messages import RaftEnvelope
 
 LENGTH_PREFIX = struct.Struct("!I")
@@ -28,7 +29,7 @@
 MAX_FRAME_BYTES = 2 << 20  # a record of the log is at most 1 MB
 
 
-class PeerProtocolError(Exception):
+class PeerProtocolError(ProtocolError):
     """What came is no frame of ours; the connection can't be read on."""
 
 
--- a/lotusstream/simulation/__main__.py
+++ b/lotusstream/simulation/__main__.py
@@ -11,6 +11,7 @@
 from lotusstream import interface as api
 from lotusstream.policy import Gateway
 from lotusstream.simulation import wire
+from lotusstream.simulation.errors import GatewayError, MalformedInputError
 
 EVENT_CODES = range(1, 13)
 
@@ -28,14 +29,6 @@
         self.actions += self.gateway.handle(now, event)
 
 
-class GatewayError(Exception):
-    """The decision module raised an exception."""
-
-    def __init__(self, instance_id: int) -> None:
-        super().__init__(instance_id)
-        self.instance_id = instance_id
-
-
 class Host:
     """Holds the instances and the endpoint lists that the simulator refers to by number."""
 
@@ -59,7 +52,7 @@
         for index in range(batch.count):
             code, body = batch.record(index)
             if code not in EVENT_CODES:
-                raise wire.MalformedInputError(f"batch {batch.number}: unknown event code {code}")
+                raise MalformedInputError(f"batch {batch.number}: unknown event code {code}")
             if code == wire.EventCode.INVENTORY:
                 self._on_inventory(batch, body)
                 continue
@@ -81,7 +74,7 @@
         if code == wire.EventCode.INIT:
             event = self._start_instance(batch, instance_id, body)
         elif instance_id not in self._instances:
-            raise wire.MalformedInputError(
+            raise MalformedInputError(
                 f"batch {batch.number}: event for instance {instance_id}, which is not running"
             )
         elif code == wire.EventCode.VIEW:
@@ -101,11 +94,11 @@
         _, _sequence, raw_kind, number = wire.VIEW.unpack_from(body)
         kind = wire.LIST_KINDS.get(raw_kind)
         if kind is None:
-            raise wire.MalformedInputError(f"batch {batch.number}: unknown kind of view {raw_kind}")
+            raise MalformedInputError(f"batch {batch.number}: unknown kind of view {raw_kind}")
         if kind is api.EndpointListKind.FAILED:
             return api.EndpointListReceived(kind, ())
         if number not in self._lists:
-            raise wire.MalformedInputError(f"batch {batch.number}: list {number} was never given")
+            raise MalformedInputError(f"batch {batch.number}: list {number} was never given")
         return api.EndpointListReceived(kind, self._lists[number])
 
     def _handle(self, instance_id: int, now: int, event: api.Event) -> None:
@@ -131,7 +124,7 @@
     try:
         while (batch := wire.read_batch(source)) is not None:
             host.answer(batch, output)
-    except (wire.MalformedInputError, struct.error, ValueError, KeyError) as error:
+    except (MalformedInputError, struct.error, ValueError, KeyError) as error:
         write_error(f"lotusstream.simulation: malformed input: {error}\n")
         return 1
     return 0
--- a/lotusstream/simulation/wire.py
+++ b/lotusstream/simulation/wire.py
@@ -14,6 +14,7 @@
 
 from lotusstream import interface as api
 from lotusstream.deployment import SettingsError, read_settings
+from lotusstream.simulation.errors import MalformedInputError
 
 EVENT_SIZE = 56  # bytes of a record
 ACTION_SIZE = 24  # bytes of a record
@@ -90,10 +91,6 @@
 }
 
 
-class MalformedInputError(Exception):
-    """The input is not a batch of this wire."""
-
-
 @dataclass(frozen=True, slots=True)
 class Batch:
     """The events of one time."""
