--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -29,7 +29,7 @@
 from lotusstream.lab.fleet.run import KEEPS, QUICK
 from lotusstream.lab.fleet.run import SHARDS as SHARDS_THERE
 from lotusstream.lab.world import Broken
-from lotusstream.net.copies import ReplicaStore
+from lotusstream.net.replica_store import ReplicaStore
 
 SIDE_BY_SIDE = 3  # fleets at once, of five gateways each
 PARTS = 20
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -38,8 +38,9 @@
 
 if TYPE_CHECKING:
     from lotusstream.net.commitments import CommitmentActor
-    from lotusstream.net.copies import ReplicationActor, ShardControllerTask
     from lotusstream.net.health_checks import HealthReportService, PeerReportsActor
+    from lotusstream.net.replication import ReplicationActor
+    from lotusstream.net.shard_control import ShardControllerTask
 
 QUORUM_REPLY_TIMEOUT_S = 3.0  # seconds, of an operator's question
 
@@ -183,7 +184,7 @@
             if self.raft_actor is not None:
                 self._health_report_service = HealthReportService(examine, self._newest_health_check_token)
         if (holds := told.replica(name)) is not None and told.copies is not None:
-            from lotusstream.net.copies import ReplicationActor
+            from lotusstream.net.replication import ReplicationActor
 
             assert told.store is not None
             machine, zone = holds.machine, holds.zone
@@ -228,7 +229,7 @@
     def leave(self) -> None:
         """A planned stop: leases are released and leadership is handed over, as far as that goes at once."""
         if self.copies is not None:
-            self.copies.leave()
+            self.copies.begin_shutdown()
         for task in self.lease_holder.tasks:
             self.lease_holder.post(hold.LeaseUnwanted(task))
         if self.raft_actor is not None:
@@ -255,7 +256,7 @@
             return
         if isinstance(frame, wire.ReplicationFrame | wire.CommitmentRequest | wire.ReplicaHeartbeatReply):
             if self.copies is not None:
-                self.copies.heard(frame, answer)
+                self.copies.on_frame(frame, answer)
             return
         if self.raft_actor is None:
             return
@@ -296,7 +297,7 @@
     # Copies
 
     def _make_manager(self, around: TaskContext) -> FleetTask:
-        from lotusstream.net.copies import ShardControllerTask
+        from lotusstream.net.shard_control import ShardControllerTask
 
         assert self._settings.copies is not None
         self._shard_control_task = ShardControllerTask(
--- /dev/null
+++ b/lotusstream/net/replica_store.py
@@ -0,0 +1,108 @@
+"""The log of a gateway's replicas: one file for all shards."""
+
+from __future__ import annotations
+
+import os
+import threading
+import time
+import uuid
+from typing import Any
+
+import msgspec
+
+from lotusstream.copies.messages import LogRecord, OperationLogRecord, SnapshotLogRecord
+from lotusstream.copies.replica_events import PersistLogRecords
+from lotusstream.copies.shard_replica import recover_shards
+from lotusstream.net import raft_node
+from lotusstream.wal.log import CorruptLogError, WriteAheadLog
+
+LOG_FILE_NAME = "copies.log"
+MIN_REWRITE_BYTES = 1 << 20
+REWRITE_GROWTH_RATIO = 2  # a log is rewritten once it has grown by this since the last time
+
+
+class DiskIdentity(msgspec.Struct, frozen=True, array_like=True, tag_field="is", tag="disk"):
+    """The log's first record: the name of the disk."""
+
+    disk: str
+
+
+_LOG_RECORD_DECODER: msgspec.msgpack.Decoder[DiskIdentity | OperationLogRecord | SnapshotLogRecord]
+_LOG_RECORD_DECODER = msgspec.msgpack.Decoder(DiskIdentity | OperationLogRecord | SnapshotLogRecord)
+
+
+class ReplicaStore:
+    """Writes log records and reads them again.
+
+    A damaged log is moved away, and the gateway begins as a new replica: others have what it held. The
+    methods may be called from any thread, one at a time gets through.
+    """
+
+    def __init__(self, folder: str, name: str) -> None:
+        """Open the log, and make folder and file where there are none.
+
+        :param name: of the gateway; a new disk's name begins with it.
+        :raises LogError: the log can't be used.
+        """
+        os.makedirs(folder, mode=0o700, exist_ok=True)
+        self.damage = ""  # why the log was moved away; "": it was not
+        records = self._open(os.path.join(folder, LOG_FILE_NAME))
+        self._log.payloads = []
+        disks = [record.disk for record in records if isinstance(record, DiskIdentity)]
+        self.disk = disks[0] if disks else f"{name}-{uuid.uuid4().hex[:12]}"
+        if not disks:
+            self._log.append(msgspec.msgpack.encode(DiskIdentity(self.disk)))
+        self.shards = recover_shards(each for each in records if not isinstance(each, DiskIdentity))
+        self._lock = threading.Lock()
+        self._rewrite_above_bytes = self._next_rewrite_bytes()
+
+    def _open(self, path: str) -> list[DiskIdentity | OperationLogRecord | SnapshotLogRecord]:
+        """Open the log and return its records, none where it was damaged."""
+        try:
+            self._log = WriteAheadLog(path, raft_node.make_disk()).open()
+            return [_LOG_RECORD_DECODER.decode(payload) for payload in self._log.payloads]
+        except (CorruptLogError, msgspec.MsgspecError) as error:
+            self.damage = str(error)
+            if not isinstance(error, CorruptLogError):
+                self._log.close()
+        os.replace(path, f"{path}.damaged-{time.time_ns()}")
+        self._log = WriteAheadLog(path, raft_node.make_disk()).open()
+        return []
+
+    def _next_rewrite_bytes(self) -> int:
+        return max(MIN_REWRITE_BYTES, REWRITE_GROWTH_RATIO * self._log.size_bytes)
+
+    def write(self, writes: list[PersistLogRecords], snapshot: list[LogRecord] | None) -> None:
+        """Append the records of some writes, by one sync for all.
+
+        :param snapshot: all shards as they are now, to replace the log instead; None: append.
+        :raises DiskError: what was written before stands.
+        """
+        with self._lock:
+            if snapshot is not None:
+                records: list[Any] = [DiskIdentity(self.disk), *snapshot]
+                self._log.rewrite(map(msgspec.msgpack.encode, records))
+                self._rewrite_above_bytes = self._next_rewrite_bytes()
+            else:
+                records = [record for write in writes for record in write.records]
+                self._log.append(*map(msgspec.msgpack.encode, records))
+
+    def first_damaged_byte(self) -> int | None:
+        """Read the log once more beside all writes.
+
+        :returns: the first byte that can't be read on from; None: all is sound.
+        :raises DiskError: the log can't be opened.
+        """
+        with self._lock:
+            inspection = self._log.inspect()
+        return inspection.first_damaged_byte()
+
+    @property
+    def is_due_for_rewrite(self) -> bool:
+        """Whether the log has grown so long that it is to be replaced."""
+        return self._log.size_bytes > self._rewrite_above_bytes
+
+    def close(self) -> None:
+        """Close the log, once a write that is under way has ended."""
+        with self._lock:
+            self._log.close()
--- /dev/null
+++ b/lotusstream/net/replication.py
@@ -0,0 +1,368 @@
+"""The replicas of a gateway at work: their log, their messages to other gateways, and their heartbeats."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+import uuid
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from lotusstream.copies import replica_events
+from lotusstream.copies.claim_events import ClaimOutcome
+from lotusstream.copies.messages import IdempotencyRecord, LogRecord, snapshot_log_records
+from lotusstream.copies.options import ReplicationOptions
+from lotusstream.copies.replica import ReplicaSet
+from lotusstream.copies.replica_events import (
+    AlreadyRecorded,
+    AssignmentLearned,
+    ClaimRequested,
+    Committed,
+    CompletionRequested,
+    LeaseRenewed,
+    LogWritePersisted,
+    MessageReceived,
+    NotCommitted,
+    PersistLogRecords,
+    ReplicaTimeAdvanced,
+    ReportDivergence,
+    SendReplicaMessage,
+    ShutdownStarted,
+)
+from lotusstream.copies.shards import ReplicaHost, ReplicaId, shard_of
+from lotusstream.net import clock
+from lotusstream.net.actor import Actor, Supervisor
+from lotusstream.net.connection import US
+from lotusstream.net.replica_store import ReplicaStore
+from lotusstream.net.shard_control import ReadQuorumView, SendFrame
+from lotusstream.protocol import peers as wire
+from lotusstream.wal.log import DiskError
+
+HEARTBEATS_PER_LEASE = 8
+MIN_TIMER_DELAY_US = 1000
+SHARD_CONTROL_LEASE = "copies"
+
+SendReply = Callable[[wire.PeerFrame], None]
+
+
+@dataclass(frozen=True, slots=True)
+class _RequestReceived:
+    """A gateway, another one or this one, asks to store a record."""
+
+    frame: wire.CommitmentRequest
+    send_reply: SendReply
+
+
+@dataclass(frozen=True, slots=True)
+class _HeartbeatReplyReceived:
+    """The shard controller has answered a heartbeat."""
+
+    frame: wire.ReplicaHeartbeatReply
+
+
+class ReplicationActor(Actor[Any]):
+    """Drives a `ReplicaSet`. After a failure of the disk it does nothing until the gateway is restarted."""
+
+    def __init__(
+        self,
+        name: str,
+        machine: str,
+        zone: str,
+        options: ReplicationOptions,
+        folder: str,
+        send_frame: SendFrame,
+        read_view: ReadQuorumView,
+        supervisor: Supervisor,
+    ) -> None:
+        """Open the log in this folder.
+
+        :raises LogError: the log can't be used.
+        """
+        super().__init__("copies", supervisor)
+        self._options = options
+        self._send_frame = send_frame
+        self._read_view = read_view
+        self._store = ReplicaStore(folder, name)
+        if self._store.damage:
+            supervisor.log.write("copies", f"put aside, and copied anew: {self._store.damage}", "error")
+        self.host = ReplicaHost(ReplicaId(name, self._store.disk), machine, zone)
+        session = f"{self._store.disk}.{uuid.uuid4().hex[:8]}"
+        now = clock.boot_clock()
+        self.replicas = ReplicaSet(self.host.replica_id, session, options, self._store.shards, now)
+        self._unsaved: list[PersistLogRecords] = []
+        self._is_saving = False
+        self._rewrite_requested = False  # the log is to be replaced by what is in memory
+        self._timer: asyncio.TimerHandle | None = None
+        self._failure = ""  # of the disk; "": none
+        self._requests: dict[int, _RequestReceived] = {}  # not answered yet, by ticket
+        self._newest_ticket = 0
+        self._heartbeats_sent_at: dict[int, int] = {}  # microseconds, by number
+        self._newest_heartbeat = 0
+        self._answered_at = 0  # microseconds: when the controller has last answered a heartbeat
+        self.controller = ""  # name of the gateway that controls the shards; "": not known
+        self.primaries: dict[int, ReplicaId] = {}  # by shard, as the controller has told last
+
+    # Life cycle
+
+    def start(self) -> None:
+        """Begin to take in messages and to send heartbeats."""
+        super().start()
+        self.supervisor.start_restarting("beacons", self._send_heartbeats)
+        if self._options.anti_entropy_interval:
+            self.supervisor.start_restarting("scrub", self._check_log)
+
+    def begin_shutdown(self) -> None:
+        """Begin a planned stop: others become primaries at once, not only once this one's lease has ended."""
+        self.post(ShutdownStarted())
+
+    async def stop(self) -> None:
+        """End, and close the log."""
+        await super().stop()
+        if self._timer is not None:
+            self._timer.cancel()
+        await asyncio.to_thread(self._store.close)
+
+    # Heartbeats
+
+    async def _send_heartbeats(self) -> None:
+        """Send several in a lease, and look for the controller while none is answered."""
+        lease_us = self._options.leases.duration_us
+        while True:
+            if clock.boot_clock() - self._answered_at > lease_us // 2:
+                view = await self._read_view()
+                leases = {row["task"]: row["holder"] for row in (view or {}).get("leases", [])}
+                self.controller = leases.get(SHARD_CONTROL_LEASE, "")
+            self._send_heartbeat()
+            self.post(ReplicaTimeAdvanced(_unix_time_us()))
+            await asyncio.sleep(lease_us / US / HEARTBEATS_PER_LEASE)
+
+    def _send_heartbeat(self) -> None:
+        if not self.controller or self._failure:
+            return
+        now = clock.boot_clock()
+        lease_us = self._options.leases.duration_us
+        self._newest_heartbeat += 1
+        self._heartbeats_sent_at = {
+            number: sent_at
+            for number, sent_at in self._heartbeats_sent_at.items()
+            if now - sent_at < lease_us
+        }
+        self._heartbeats_sent_at[self._newest_heartbeat] = now
+        heartbeat = wire.ReplicaHeartbeat(
+            self._newest_heartbeat,
+            self.host,
+            self.replicas.session,
+            self.replicas.caught_up_replicas(),
+            self.replicas.shutting_down,
+            self.replicas.more_advanced_replicas(),
+        )
+        self._send_frame(self.controller, heartbeat)
+
+    # Messages
+
+    def on_frame(self, frame: wire.PeerFrame, send_reply: SendReply) -> None:
+        """Take in a frame of a gateway; may be called from any task of the loop."""
+        match frame:
+            case wire.ReplicationFrame(source, to, message):
+                if to == self.host.replica_id:
+                    self.post(MessageReceived(source, message))
+            case wire.CommitmentRequest():
+                self.post(_RequestReceived(frame, send_reply))
+            case wire.ReplicaHeartbeatReply():
+                self.post(_HeartbeatReplyReceived(frame))
+
+    async def receive(self, message: Any) -> None:
+        """Take in a message of this module or an event of the replica set."""
+        if self._failure:
+            return
+        match message:
+            case _RequestReceived():
+                self._on_request(message)
+            case _HeartbeatReplyReceived(frame):
+                self._on_heartbeat_reply(frame)
+            case ShutdownStarted():
+                self._handle(message)
+                self._send_heartbeat()
+            case _:
+                self._handle(message)
+
+    def _on_request(self, request: _RequestReceived) -> None:
+        self._newest_ticket += 1
+        ticket = self._newest_ticket
+        self._requests[ticket] = request
+        frame = request.frame
+        if frame.finish:
+            self._handle(CompletionRequested(ticket, frame.holding, _unix_time_us()))
+        else:
+            self._handle(ClaimRequested(ticket, frame.holding, _unix_time_us(), frame.after))
+
+    def _on_heartbeat_reply(self, reply: wire.ReplicaHeartbeatReply) -> None:
+        for assignment in reply.assigned:
+            self._handle(AssignmentLearned(assignment))
+        sent_at = self._heartbeats_sent_at.get(reply.number)
+        if sent_at is not None:
+            self._answered_at = clock.boot_clock()
+            self.primaries = dict(reply.homes)
+            self._handle(LeaseRenewed(sent_at, reply.epochs))
+
+    def _handle(self, event: replica_events.Event) -> None:
+        for action in self.replicas.handle(clock.boot_clock(), event):
+            self._carry_out(action)
+        due = self.replicas.next_timer_at
+        if due is not None and self._timer is None:
+            delay_s = max(MIN_TIMER_DELAY_US, due - clock.boot_clock()) / US
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self.post(ReplicaTimeAdvanced())
+
+    # Actions
+
+    def _carry_out(self, action: replica_events.Action) -> None:
+        match action:
+            case PersistLogRecords():
+                self._unsaved.append(action)
+                self._start_saving()
+            case SendReplicaMessage(to, message):
+                self._send_frame(to.name, wire.ReplicationFrame(self.host.replica_id, to, message))
+            case Committed(ticket):
+                self._reply(ticket, ClaimOutcome.COMMITTED)
+            case AlreadyRecorded(ticket, record):
+                self._reply(ticket, ClaimOutcome.ALREADY_RECORDED, record)
+            case NotCommitted():
+                self._reply_not_committed(action)
+            case ReportDivergence():
+                self._log_divergence(action)
+
+    def _reply(
+        self,
+        ticket: int,
+        outcome: ClaimOutcome,
+        record: IdempotencyRecord | None = None,
+        reason: str = "",
+        primary: str = "",
+    ) -> None:
+        request = self._requests.pop(ticket, None)
+        if request is not None:
+            number = request.frame.number
+            request.send_reply(wire.CommitmentReply(number, outcome.value, record, reason, primary))
+
+    def _reply_not_committed(self, refusal: NotCommitted) -> None:
+        outcome = ClaimOutcome.UNKNOWN if refusal.outcome_unknown else ClaimOutcome.NOT_COMMITTED
+        primary = refusal.primary
+        request = self._requests.get(refusal.ticket)
+        if request is not None and outcome is ClaimOutcome.NOT_COMMITTED and not primary:
+            primary = self._other_primary(request.frame.holding.key)
+        self._reply(refusal.ticket, outcome, None, refusal.reason, primary)
+
+    def _other_primary(self, key: str) -> str:
+        """Return the gateway that the controller has told as primary of a key; "" if it is this one."""
+        replica_id = self.primaries.get(shard_of(key, self._options.shard_count))
+        if replica_id is None or replica_id == self.host.replica_id:
+            return ""
+        return replica_id.name
+
+    def _log_divergence(self, report: ReportDivergence) -> None:
+        outcome = "nobody can tell which is right"
+        if report.refilled:
+            outcome = f"{', '.join(each.name for each in report.refilled)} filled anew"
+        elif report.next_primary:
+            outcome = f"{report.next_primary.name} is to be home"
+        text = f"copies of shard {report.shard} differ: {outcome}"
+        self.supervisor.counters.add("copies found to differ")
+        self.supervisor.log.write("copies", text, "error", shard=report.shard)
+
+    # The log
+
+    def _start_saving(self) -> None:
+        if not self._is_saving:
+            self._is_saving = True
+            self.supervisor.start("copies store", self._save())
+
+    async def _save(self) -> None:
+        """Write all that has come meanwhile by one sync, until nothing is left."""
+        while self._unsaved or self._rewrite_requested:
+            writes = self._unsaved
+            self._unsaved = []
+            is_rewrite = self._store.is_due_for_rewrite or self._rewrite_requested
+            snapshot = self._snapshot() if is_rewrite else None
+            self._rewrite_requested = False
+            try:
+                await asyncio.to_thread(self._store.write, writes, snapshot)
+            except DiskError as error:
+                self._on_disk_failed(error)
+                return
+            if writes:
+                self.post(LogWritePersisted(writes[-1].write_number))
+        self._is_saving = False
+
+    def _on_disk_failed(self, error: DiskError) -> None:
+        self._failure = str(error)
+        self.supervisor.counters.add("copies disk failures")
+        self.supervisor.log.write("copies", f"this holder stands still: {error}", "error")
+
+    def _snapshot(self) -> list[LogRecord]:
+        """Return log records of all shards as they are now."""
+        part_bytes = self._options.part_bytes
+        return [
+            record
+            for shard in self.replicas.shards.values()
+            for record in snapshot_log_records(
+                shard.number, shard.position, shard.records.values(), part_bytes
+            )
+        ]
+
+    async def _check_log(self) -> None:
+        """Read the log again once in an anti-entropy interval, and rewrite a damaged one from memory.
+
+        Guards against a disk that has changed records silently: the next start would have to move the log
+        away, and would begin without any record.
+        """
+        while True:
+            await asyncio.sleep(self._options.anti_entropy_interval / US)
+            self.supervisor.counters.add("copies logs read again")
+            if self._failure:
+                continue
+            offset = await asyncio.to_thread(self._store.first_damaged_byte)
+            if offset is None:
+                continue
+            self.supervisor.counters.add("copies logs found damaged")
+            text = f"damaged on disk at byte {offset}, written anew"
+            self.supervisor.log.write("copies", text, "error")
+            self._rewrite_requested = True
+            self._start_saving()
+
+    def view(self) -> dict[str, Any]:
+        """Return what is printed for operators; its keys are the form of `ctl --json`."""
+        shards = []
+        for shard in self.replicas.shards.values():
+            assignment = shard.assignment
+            if assignment is None or shard.deposed:
+                continue
+            shards.append(
+                {
+                    "shard": shard.number,
+                    "epoch": assignment.epoch,
+                    "home": assignment.primary.name,
+                    "copies": [each.name for each in assignment.backups],
+                    "joining": [each.name for each in assignment.joining],
+                    "keys": len(shard.records),
+                }
+            )
+        return {
+            "holder": self.host.replica_id.name,
+            "disk": self.host.replica_id.disk,
+            "machine": self.host.machine,
+            "zone": self.host.zone,
+            "manager": self.controller,
+            "leased": self.replicas.has_lease,
+            "trouble": self._failure,
+            "size": self.replicas.size_bytes,
+            "shards": shards,
+        }
+
+
+def _unix_time_us() -> int:
+    return time.time_ns() // 1000
--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -48,7 +48,7 @@
 from lotusstream.lab.copies import OPTIONS, ReplicationScenario, ReplicationWorld, play
 from lotusstream.lab.world import S
 from lotusstream.net.actor import Supervisor
-from lotusstream.net.copies import ShardControllerTask
+from lotusstream.net.shard_control import ShardControllerTask
 from lotusstream.net.tasks import TaskContext
 
 SPAN = 20
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -18,10 +18,10 @@
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.healthcheck.reports import HealthReports, Row
 from lotusstream.leases import table as leases
-from lotusstream.net.copies import _LOG_RECORD_DECODER as COPY_RECORD_DECODER
-from lotusstream.net.copies import DiskIdentity as CopiesIdentity
 from lotusstream.net.migrations import _STEPS as MOVE_DECODER
 from lotusstream.net.raft_node import _RECORD_DECODER as QUORUM_RECORD_DECODER
+from lotusstream.net.replica_store import _LOG_RECORD_DECODER as COPY_RECORD_DECODER
+from lotusstream.net.replica_store import DiskIdentity as CopiesIdentity
 from lotusstream.protocol import control, peers
 from lotusstream.quorum import messages as quorum
 from lotusstream.quorum.messages import EntryKind
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -25,10 +25,10 @@
 )
 from golden_stores import FOUNDERS, LEARNER, MADE, write_log
 
-from lotusstream.net.copies import _ASSIGNMENT_DECODER as ASSIGNED_DECODER
-from lotusstream.net.copies import ReplicaStore
 from lotusstream.net.migrations import read_moves
 from lotusstream.net.raft_node import open_store
+from lotusstream.net.replica_store import ReplicaStore
+from lotusstream.net.shard_control import _ASSIGNMENT_DECODER as ASSIGNED_DECODER
 from lotusstream.quorum.replicated_log import ReplicatedLog
 from lotusstream.wal.log import WriteAheadLog
 
@@ -106,7 +106,7 @@
 def test_the_copies_of_a_run_are_read(stored: Path) -> None:
     store = ReplicaStore(str(stored / "run"), "g3")
     store.close()
-    assert (store.disk, store.damaged) == ("g3-a672fa73a199", "")
+    assert (store.disk, store.damage) == ("g3-a672fa73a199", "")
     assert {number: (shard.position, shard.persisted_sequence) for number, shard in store.shards.items()} == {
         1: ((1, 3), 3),
         0: ((1, 2), 2),
@@ -165,7 +165,7 @@
 def test_a_shard_whose_last_part_is_missing_stays_as_it_was(stored: Path) -> None:
     store = ReplicaStore(str(stored / "made"), "g1")
     store.close()
-    assert (store.disk, store.damaged) == ("g1-disk", "")
+    assert (store.disk, store.damage) == ("g1-disk", "")
     assert list(store.shards[0].records.values()) == list(HOLDINGS)
     assert (store.shards[0].position, store.shards[0].persisted_sequence) == ((3, 18), 18)
     assert list(store.shards[1].records.values()) == [HOLDINGS[0]]
