--- a/lotusstream/copies/options.py
+++ b/lotusstream/copies/options.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotusstream/lab/copies.py
+++ b/lotusstream/lab/copies.py
@@ -60,7 +60,7 @@
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.lab.world import MS, Node, S, Span, World
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 
 FAILED_ANSWER = b"may have run"
 ONCE_KEY_SUFFIX = "once"  # the end of keys whose commands may run once only
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -8,7 +8,7 @@
 from lotusstream.copies.options import ReplicationOptions
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT
 from lotusstream.healthcheck.reports import HealthCheckOptions
-from lotusstream.leases.granter import LeaseTiming
+from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.operator.grammar import Word
 from lotusstream.operator.problems import Problem, nearest
 from lotusstream.operator.tree import (
