--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -1,5 +1,8 @@
-"""Between the decider and the engines, for commands with a mark: a send leaves once its key is claimed at the
-home of its shard, an answer once it is held there. Imported only where the operator file has `remember`."""
+"""The commitment gate: requests with an idempotency key are claimed before they are sent to an endpoint.
+
+An attempt leaves once its key is claimed at the primary of the key's shard, an answer once it is stored
+there. Imported only where the operator file has `remember`.
+"""
 
 from __future__ import annotations
 
@@ -29,9 +32,9 @@
 from lotusstream.copies.idempotency import ClaimCoordinator, ClaimOptions
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.deployment import Deployment
-from lotusstream.interface import DeduplicationScope, Idempotency, Outcome
+from lotusstream.interface import DeduplicationScope, Idempotency, Outcome, Profile
 from lotusstream.net.actor import Actor, Supervisor
-from lotusstream.net.attempt_messages import AbortAttempt, AttemptFinished, ChangePriority, RunAttempt
+from lotusstream.net.attempt_messages import AbortAttempt, AttemptFinished, RunAttempt
 from lotusstream.net.clock import Clock
 from lotusstream.net.commitment_gate import (
     AnswerReady,
@@ -48,127 +51,206 @@
 from lotusstream.operator.fleet import FleetSettings
 from lotusstream.protocol import peers as wire
 
-CLAIM_TIME_DIVISOR = 4  # of a command's time that a claim may take; and of a peer's patience, for one answer
-RESERVED_TIME_DIVISOR = 50  # part of the time that a client gave, kept free before its end
-UNKNOWN_INDEX = -1
+CLAIM_TIME_DIVISOR = 4  # part of a request's time for a claim, and of a peer's timeout for one reply
+RETRY_PAUSE_DIVISOR = 8  # part of the reply's timeout between two tries
+RESERVED_TIME_DIVISOR = 50  # part of the client's time limit that is kept free before the deadline
+DIGEST_BYTES = 16  # of a request's digest
+UNKNOWN_INDEX = -1  # of a zone or cell
 
 
 @dataclass(frozen=True, slots=True)
 class _ClaimTimerFired:
-    """Time alone may change something."""
+    """A retry or a deadline of the claims may be due."""
+
+
+@dataclass(frozen=True, slots=True)
+class _WaitingAttempt:
+    """An attempt that waits for its claim."""
+
+    start: RunAttempt
+    actor: EndpointActor  # that runs it
+
+
+@dataclass(frozen=True, slots=True)
+class _ArmedTimer:
+    due: int  # microseconds
+    handle: asyncio.TimerHandle
 
 
 class CommitmentActor(Actor[GateMessage | wire.CommitmentReply | _ClaimTimerFired]):
-    """Drives `Claims`; what it says reaches the decision module as events."""
+    """Drives a `ClaimCoordinator`; its actions reach the decisions as events."""
 
     def __init__(
-        self, name: str, told: FleetSettings, deployment: Deployment, decider: Decider, clock: Clock,
-        tell: Callable[[str, wire.PeerFrame], None], supervisor: Supervisor,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        settings: FleetSettings,
+        deployment: Deployment,
+        decider: Decider,
+        clock: Clock,
+        send_frame: Callable[[str, wire.PeerFrame], None],
+        supervisor: Supervisor,
+    ) -> None:
         super().__init__("promises", supervisor)
-        assert told.copies is not None and told.idempotency_retention_us is not None
-        self._deployment, self._remember = deployment, told.idempotency_retention_us
-        self._decider, self._clock, self._tell = decider, clock, tell
-        holders = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in told.replicas]
-        patience = told.peer_timeout_us // CLAIM_TIME_DIVISOR
-        terms = ClaimOptions(told.copies.shard_count, told.copies.replica_count, patience, patience // 8)
-        self.claims = ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", holders, terms)
-        self._waiting: dict[tuple[int, int], tuple[RunAttempt, EndpointActor]] = {}
-        self._armed: tuple[int, asyncio.TimerHandle] | None = None
-
-    def covers(self, profile: int, mark: str | None) -> bool:
-        """Whether a repeat could be told, and would do harm."""
-        effect = self._deployment.started.profiles[profile].idempotency
-        return mark is not None and effect is not Idempotency.IDEMPOTENT
+        assert settings.copies is not None and settings.idempotency_retention_us is not None
+        self._deployment = deployment
+        self._retention_us = settings.idempotency_retention_us
+        self._decider = decider
+        self._clock = clock
+        self._send_frame = send_frame
+        hosts = [ReplicaHost(ReplicaId(each.name, ""), each.machine, each.zone) for each in settings.replicas]
+        reply_timeout = settings.peer_timeout_us // CLAIM_TIME_DIVISOR
+        options = ClaimOptions(
+            settings.copies.shard_count,
+            settings.copies.replica_count,
+            reply_timeout,
+            reply_timeout // RETRY_PAUSE_DIVISOR,
+        )
+        self._coordinator = ClaimCoordinator(f"{name}.{uuid.uuid4().hex[:12]}", hosts, options)
+        self._waiting: dict[tuple[int, int], _WaitingAttempt] = {}  # by request and attempt
+        self._timer: _ArmedTimer | None = None
+
+    def covers(self, profile: int, idempotency_key: str | None) -> bool:
+        """Whether a repeat of a request could be recognized, and would do harm.
+
+        :param profile: index of the request's profile.
+        """
+        idempotency = self._deployment.started.profiles[profile].idempotency
+        return idempotency_key is not None and idempotency is not Idempotency.IDEMPOTENT
 
     async def receive(self, message: GateMessage | wire.CommitmentReply | _ClaimTimerFired) -> None:
+        """Take in a message of the decider, a host's reply, or the timer."""
         match message:
             case AttemptReady():
-                self._departs(message)
-            case AttemptControl(actor, AbortAttempt(command, number)) if (command, number) in self._waiting:
-                self._take(AttemptCancelled(command, number))
-            case AttemptControl(actor, ChangePriority(command, number, priority)) if (
-                command,
-                number,
-            ) in self._waiting:
-                start = self._waiting[command, number][0]
-                self._waiting[command, number] = (replace(start, priority=priority), actor)
-            case AttemptControl(actor, told):
-                actor.post(told)
-            case AnswerReceived(command, rows, ends_by, given):
-                now = self._clock.now()
-                by = max(ends_by - given // RESERVED_TIME_DIVISOR, (now + ends_by) // 2)
-                self._take(EndpointAnswered(command, rows, by))
-            case RequestClosed(command, ran, out, given):
-                self._take(RequestEnded(command, ran, out, self._clock.now() + given))
-            case wire.CommitmentReply(number, what, holding, why, home):
-                self._take(PrimaryReplied(number, what, holding, why, home))
+                self._on_attempt_ready(message)
+            case AttemptControl():
+                self._on_attempt_control(message)
+            case AnswerReceived():
+                self._on_answer_received(message)
+            case RequestClosed(request, may_have_run, in_flight, time_limit):
+                deadline = self._clock.now() + time_limit
+                self._handle(RequestEnded(request, may_have_run, in_flight, deadline))
+            case wire.CommitmentReply(number, outcome, record, reason, primary):
+                self._handle(PrimaryReplied(number, outcome, record, reason, primary))
             case _ClaimTimerFired():
-                self._take(ClaimTimeAdvanced())
+                self._handle(ClaimTimeAdvanced())
 
-    def _departs(self, message: AttemptReady) -> None:
-        start, taken, engine = message.start, message.request, message.entry
-        profile = self._deployment.started.profiles[taken.fields.profile]
-        now, mark = self._clock.now(), taken.fields.idempotency_key
-        assert mark is not None
-        zones = self._deployment.zones
-        zone = (
-            zones[engine.zone]
-            if profile.deduplication_scope is DeduplicationScope.ZONE and engine.zone < len(zones)
-            else ""
+    # Messages of the decider
+
+    def _on_attempt_ready(self, message: AttemptReady) -> None:
+        start, request = message.start, message.request
+        profile = self._deployment.started.profiles[request.fields.profile]
+        now = self._clock.now()
+        key = request.fields.idempotency_key
+        assert key is not None
+        self._waiting[start.request_id, start.attempt] = _WaitingAttempt(start, message.actor)
+        event = AttemptRequested(
+            request=start.request_id,
+            attempt=start.attempt,
+            key=key,
+            request_digest=_digest(start),
+            zone=self._deduplication_zone(profile, message.entry),
+            cell=_deduplication_cell(profile, message.entry),
+            executing_since=now,
+            expires_at=now + max(self._retention_us, profile.deduplication_window),
+            deadline=now + (request.deadline - now) // CLAIM_TIME_DIVISOR,
+            may_retry=profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY,
         )
-        cell = engine.cell if profile.deduplication_scope is DeduplicationScope.CELL else UNKNOWN_INDEX
-        self._waiting[start.request_id, start.attempt] = (start, message.actor)
-        said = start.profile.encode() + b"\0" + start.statement
-        until = now + max(self._remember, profile.deduplication_window)
-        by = now + (taken.deadline - now) // CLAIM_TIME_DIVISOR
-        again = profile.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        self._take(
-            AttemptRequested(
-                start.request_id, start.attempt, mark, blake2b(said, digest_size=16).hexdigest(), zone, cell,
-                now, until, by, again,
-            )
-        )  # fmt: skip
-
-    def _take(self, event: claim_events.Event) -> None:
-        counters, post = self.supervisor.counters, self._decider.post
-        for action in self.claims.handle(self._clock.now(), event):
-            match action:
-                case SendToPrimary(holder, number, finish, holding, after):
-                    self._tell(holder, wire.CommitmentRequest(number, finish, holding, after))
-                case ReleaseAttempt(command, send):
-                    start, actor = self._waiting.pop((command, send))
-                    counters.add("sends promised")
-                    counters.peak("wait for a promise, us", self._clock.now() - start.started_at)
-                    actor.post(replace(start, started_at=self._clock.now()))
-                case ReturnAttempt(command, send):
-                    _, actor = self._waiting.pop((command, send))
-                    post(AttemptFinished(command, send, actor.endpoint_id, Outcome.MOOT, 0))
-                case ReportEarlierExecution(command, zone, cell, since):
-                    counters.add("commands that may have run elsewhere")
-                    zones = self._deployment.zones
-                    at = zones.index(zone) if zone in zones else UNKNOWN_INDEX
-                    post(SubsystemEvent(api.ExecutedElsewhere(command, at, cell, since)))
-                case AbandonRequest(command, why):
-                    counters.add("commands that nothing can be promised for")
-                    self.supervisor.log.write("promises", f"given up: {why}", reason=why)
-                    post(SubsystemEvent(api.RequestWithdrawn(command)))
-                case DeliverAnswer(command, answer):
-                    post(AnswerReady(command, answer, ""))
-                case WithholdAnswer(command, why):
-                    counters.add("answers withheld")
-                    post(AnswerReady(command, None, why))
-        self._arm()
-
-    def _arm(self) -> None:
-        at = self.claims.next_timer_at
-        if at is None or (self._armed is not None and self._armed[0] <= at):
+        self._handle(event)
+
+    def _deduplication_zone(self, profile: Profile, entry: api.EndpointEntry) -> str:
+        """Return the zone whose endpoints drop repeats; "" where that does not depend on the zone."""
+        zones = self._deployment.zones
+        if profile.deduplication_scope is DeduplicationScope.ZONE and entry.zone < len(zones):
+            return zones[entry.zone]
+        return ""
+
+    def _on_attempt_control(self, control: AttemptControl) -> None:
+        """Apply an order to an attempt that waits here; one that has left gets it from its actor."""
+        order = control.message
+        waiting = self._waiting.get((order.request_id, order.attempt))
+        if waiting is None:
+            control.actor.post(order)
+        elif isinstance(order, AbortAttempt):
+            self._handle(AttemptCancelled(order.request_id, order.attempt))
+        else:
+            start = replace(waiting.start, priority=order.priority)
+            self._waiting[order.request_id, order.attempt] = _WaitingAttempt(start, control.actor)
+
+    def _on_answer_received(self, answer: AnswerReceived) -> None:
+        """Store the answer, with some time left to give it to the client."""
+        reserved = answer.time_limit // RESERVED_TIME_DIVISOR
+        halfway = (self._clock.now() + answer.deadline) // 2
+        deadline = max(answer.deadline - reserved, halfway)
+        self._handle(EndpointAnswered(answer.request_id, answer.rows, deadline))
+
+    # Actions of the coordinator
+
+    def _handle(self, event: claim_events.Event) -> None:
+        for action in self._coordinator.handle(self._clock.now(), event):
+            self._carry_out(action)
+        self._arm_timer()
+
+    def _carry_out(self, action: claim_events.Action) -> None:
+        match action:
+            case SendToPrimary(host, number, completes, record, previous_owner):
+                self._send_frame(host, wire.CommitmentRequest(number, completes, record, previous_owner))
+            case ReleaseAttempt(request, attempt):
+                self._release(request, attempt)
+            case ReturnAttempt(request, attempt):
+                waiting = self._waiting.pop((request, attempt))
+                endpoint_id = waiting.actor.endpoint_id
+                self._decider.post(AttemptFinished(request, attempt, endpoint_id, Outcome.MOOT, 0))
+            case ReportEarlierExecution():
+                self._report_earlier_execution(action)
+            case AbandonRequest(request, reason):
+                self.supervisor.counters.add("commands that nothing can be promised for")
+                self.supervisor.log.write("promises", f"given up: {reason}", reason=reason)
+                self._decider.post(SubsystemEvent(api.RequestWithdrawn(request)))
+            case DeliverAnswer(request, answer):
+                self._decider.post(AnswerReady(request, answer, ""))
+            case WithholdAnswer(request, reason):
+                self.supervisor.counters.add("answers withheld")
+                self._decider.post(AnswerReady(request, None, reason))
+
+    def _release(self, request: int, attempt: int) -> None:
+        """Let an attempt leave; its time counts from now on."""
+        waiting = self._waiting.pop((request, attempt))
+        counters = self.supervisor.counters
+        counters.add("sends promised")
+        counters.peak("wait for a promise, us", self._clock.now() - waiting.start.started_at)
+        waiting.actor.post(replace(waiting.start, started_at=self._clock.now()))
+
+    def _report_earlier_execution(self, action: ReportEarlierExecution) -> None:
+        self.supervisor.counters.add("commands that may have run elsewhere")
+        zones = self._deployment.zones
+        zone = zones.index(action.zone) if action.zone in zones else UNKNOWN_INDEX
+        event = api.ExecutedElsewhere(action.request, zone, action.cell, action.executing_since)
+        self._decider.post(SubsystemEvent(event))
+
+    # The timer
+
+    def _arm_timer(self) -> None:
+        """Arm a timer for the coordinator's next due time, where none fires before."""
+        due = self._coordinator.next_timer_at
+        if due is None or (self._timer is not None and self._timer.due <= due):
             return
-        if self._armed is not None:
-            self._armed[1].cancel()
-        delay = max(0, at - self._clock.now()) / US
-        self._armed = (at, asyncio.get_running_loop().call_later(delay, self._ring))
+        if self._timer is not None:
+            self._timer.handle.cancel()
+        delay_s = max(0, due - self._clock.now()) / US
+        handle = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
+        self._timer = _ArmedTimer(due, handle)
 
-    def _ring(self) -> None:
-        self._armed = None
+    def _on_timer(self) -> None:
+        self._timer = None
         self.post(_ClaimTimerFired())
+
+
+def _digest(start: RunAttempt) -> str:
+    """Return a digest of what an idempotency key stands for: profile and statement."""
+    text = start.profile.encode() + b"\0" + start.statement
+    return blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
+
+
+def _deduplication_cell(profile: Profile, entry: api.EndpointEntry) -> int:
+    """Return the cell whose endpoints drop repeats, or `UNKNOWN_INDEX`."""
+    return entry.cell if profile.deduplication_scope is DeduplicationScope.CELL else UNKNOWN_INDEX
