--- a/lotusstream/lab/fleet/process.py
+++ b/lotusstream/lab/fleet/process.py
@@ -25,7 +25,7 @@
 
 from lotusstream.net import clock, raft_node, tasks
 from lotusstream.operator import fleet as directives
-from lotusstream.wal.log import FileSystemCalls
+from lotusstream.wal.file_system import FileSystemCalls
 
 CLOCK = struct.Struct("!dq")
 WITNESS = "witness"
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -34,7 +34,7 @@
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
 from lotusstream.quorum.messages import RaftEnvelope
-from lotusstream.wal.log import DiskError
+from lotusstream.wal.errors import DiskError
 
 if TYPE_CHECKING:
     from lotusstream.net.commitments import CommitmentActor
--- a/lotusstream/net/migrations.py
+++ b/lotusstream/net/migrations.py
@@ -10,7 +10,8 @@
 from lotusstream.cells.messages import MigrationNotPersisted, MigrationPersisted
 from lotusstream.cells.migration import Migration, MigrationStep, recover_migrations
 from lotusstream.net.actor import Actor, Supervisor
-from lotusstream.wal.log import CorruptLogError, DiskError, WriteAheadLog
+from lotusstream.wal.errors import CorruptLogError, DiskError
+from lotusstream.wal.log import WriteAheadLog
 
 _STEPS: msgspec.json.Decoder[Migration] = msgspec.json.Decoder(Migration)
 
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -31,7 +31,9 @@
 from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
 from lotusstream.quorum.timing import RaftTiming
-from lotusstream.wal.log import CorruptLogError, DiskError, FileSystemCalls, WriteAheadLog
+from lotusstream.wal.errors import CorruptLogError, DiskError
+from lotusstream.wal.file_system import FileSystemCalls
+from lotusstream.wal.log import WriteAheadLog
 
 _RECORD_DECODER: msgspec.msgpack.Decoder[RaftRecord] = msgspec.msgpack.Decoder(RaftRecord)
 REOPEN_DELAY_S = 1.0  # seconds until a disk that failed is looked at again
--- a/lotusstream/net/replica_store.py
+++ b/lotusstream/net/replica_store.py
@@ -14,7 +14,8 @@
 from lotusstream.copies.replica_events import PersistLogRecords
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.net import raft_node
-from lotusstream.wal.log import CorruptLogError, WriteAheadLog
+from lotusstream.wal.errors import CorruptLogError
+from lotusstream.wal.log import WriteAheadLog
 
 LOG_FILE_NAME = "copies.log"
 MIN_REWRITE_BYTES = 1 << 20
--- a/lotusstream/net/replication.py
+++ b/lotusstream/net/replication.py
@@ -37,7 +37,7 @@
 from lotusstream.net.replica_store import ReplicaStore
 from lotusstream.net.shard_control import ReadQuorumView, SendFrame
 from lotusstream.protocol import peers as wire
-from lotusstream.wal.log import DiskError
+from lotusstream.wal.errors import DiskError
 
 HEARTBEATS_PER_LEASE = 8
 MIN_TIMER_DELAY_US = 1000
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -71,7 +71,7 @@
         from lotusstream.cells.controller import CellController
         from lotusstream.cells.migration import migration_timing
         from lotusstream.net.migrations import MoveWriter
-        from lotusstream.wal.log import LogError
+        from lotusstream.wal.errors import LogError
 
         cells, deployment = around.file.cells, around.given.deployment
         assert cells is not None
@@ -88,7 +88,8 @@
 
     def _log(self, path: str | None):  # type: ignore[no-untyped-def]
         from lotusstream.net.migrations import read_moves
-        from lotusstream.wal.log import DiskError, WriteAheadLog
+        from lotusstream.wal.errors import DiskError
+        from lotusstream.wal.log import WriteAheadLog
 
         moves: list[Migration] = []
         if path is None:
@@ -162,7 +163,7 @@
 
     def tie(self, decider: Decider) -> None:
         from lotusstream.net.fleet import Fleet
-        from lotusstream.wal.log import LogError
+        from lotusstream.wal.errors import LogError
 
         given, told = self.around.given, self.around.file.fleet
         assert told is not None
--- a/lotusstream/wal/__init__.py
+++ b/lotusstream/wal/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept on disk so that it survives a crash."""
+"""A write-ahead log: records on disk that survive a crash of the process or the machine."""
--- a/tests/record/test_log.py
+++ b/tests/record/test_log.py
@@ -11,20 +11,15 @@
 
 import pytest
 
-from lotusstream.wal.log import (
-    CorruptLogError,
-    DiskError,
-    FileSystemCalls,
-    LogInUseError,
-    NewerLogError,
-    WriteAheadLog,
-    encode_frame,
-    encode_header,
-)
+from lotusstream.wal.errors import CorruptLogError, DiskError, LogInUseError, NewerLogError
+from lotusstream.wal.file_system import FileSystemCalls
+from lotusstream.wal.frames import encode_frame, encode_header
+from lotusstream.wal.log import WriteAheadLog
 
 DRIVER = """
 import os, signal, sys
-from lotusstream.wal.log import FileSystemCalls, WriteAheadLog
+from lotusstream.wal.file_system import FileSystemCalls
+from lotusstream.wal.log import WriteAheadLog
 path, calls, torn = sys.argv[1], int(sys.argv[2]), sys.argv[3] == "torn"
 
 class Ending(FileSystemCalls):
