--- a/tests/fleet/test_copies_on_processes.py
+++ b/tests/fleet/test_copies_on_processes.py
@@ -318,7 +318,7 @@
     await rig.gateways[gone].ready()
     await rig.whole(4)
     told = await keeping.keep(keeping.holding("short", "third"))
-    assert (told.what, told.holding.gateway) == ("known", "anew")
+    assert (told.what, told.holding.owner) == ("known", "anew")
 
 
 async def test_a_drained_machine_holds_nothing_once_others_have_it_and_may_be_lost(fleet):
