--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -22,12 +22,12 @@
 from lotusstream.copies.messages import IdempotencyRecord, Operation, OperationLogRecord, RecordState
 from lotusstream.copies.replica_events import PersistLogRecords
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT, shard_of
-from lotusstream.lab.copies import play
 from lotusstream.lab.fleet.clients import Customers, Told
 from lotusstream.lab.fleet.idempotency_client import Keeping
 from lotusstream.lab.fleet.rig import FleetRig, Gateway
 from lotusstream.lab.fleet.run import KEEPS, QUICK
 from lotusstream.lab.fleet.run import SHARDS as SHARDS_THERE
+from lotusstream.lab.replication.world import play
 from lotusstream.lab.world import Broken
 from lotusstream.net.replica_store import ReplicaStore
 
--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -18,7 +18,8 @@
 from lotusstream.copies.replica_events import ClaimRequested
 from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import shard_of
-from lotusstream.lab.copies import ReplicationScenario, ReplicationWorld, play
+from lotusstream.lab.replication.scenario import ReplicationScenario
+from lotusstream.lab.replication.world import ReplicationWorld, play
 from lotusstream.lab.world import Broken
 
 SCENE = ReplicationScenario()
--- a/tests/copies/test_copies.py
+++ b/tests/copies/test_copies.py
@@ -45,7 +45,8 @@
 from lotusstream.copies.shard_controller import ShardController
 from lotusstream.copies.shard_replica import recover_shards
 from lotusstream.copies.shards import ReplicaHost, ReplicaId, choose_hosts, shard_of
-from lotusstream.lab.copies import OPTIONS, ReplicationScenario, ReplicationWorld, play
+from lotusstream.lab.replication.scenario import OPTIONS, ReplicationScenario
+from lotusstream.lab.replication.world import ReplicationWorld, play
 from lotusstream.lab.world import S
 from lotusstream.net.actor import Supervisor
 from lotusstream.net.shard_control import ShardControllerTask
@@ -67,7 +68,7 @@
         judge = world.run()
         flipped += judge.flipped
         assert judge.differ or not judge.flipped
-        assert world.alike()
+        assert world.are_replicas_equal()
     assert flipped >= 16
 
 
