--- a/lotusstream/net/gateway.py
+++ b/lotusstream/net/gateway.py
@@ -79,15 +79,15 @@
         )
         max_bytes = configuration.memory // MEMORY_PART
         self._unread = UnreadReplies(max_bytes)
-        wrap_module = self._subsystems.beside if self._subsystems else None
+        wrap_module = self._subsystems.wrap_module if self._subsystems else None
         self._decider = Decider(
             deployment, self._budget, max_bytes, self._clock, self.supervisor, wrap_module
         )
         self._discovery = DiscoveryActor(deployment, self._clock, self._decider.post, self.supervisor)
         self._loop_watch = LoopWatch(self._clock, self.supervisor.counters, self._evaluate)
-        self._tenant_of = self._subsystems.tenants if self._subsystems else None
+        self._tenant_of = self._subsystems.tenant_lookup if self._subsystems else None
         if self._subsystems is not None:
-            self._subsystems.tie(self._decider)
+            self._subsystems.connect(self._decider)
 
     def _make_subsystems(self, operator: OperatorFile | None) -> Subsystems | None:
         """What the operator file turns on; imported only then."""
@@ -233,7 +233,7 @@
         deadline."""
         self._client_limiter.stopping = True
         if self._subsystems is not None:
-            self._subsystems.leave()
+            self._subsystems.begin_shutdown()
         began = self._clock.now()
         profiles = self._configuration.deployment.started.profiles
         longest_timeout = max(profile.client_timeout for profile in profiles)
--- a/lotusstream/net/migrations.py
+++ b/lotusstream/net/migrations.py
@@ -1,4 +1,5 @@
-"""Writes the steps of moves down, off the loop: a disk that is slow holds a move up, and no command."""
+"""The log of migrations on disk. It is written in a thread of its own, so that a slow disk delays migrations
+and no request."""
 
 from __future__ import annotations
 
@@ -13,59 +14,77 @@
 from lotusstream.wal.errors import CorruptLogError, DiskError
 from lotusstream.wal.log import WriteAheadLog
 
-_STEPS: msgspec.json.Decoder[Migration] = msgspec.json.Decoder(Migration)
+_RECORDS: msgspec.json.Decoder[Migration] = msgspec.json.Decoder(Migration)
 
 
-def read_moves(log: WriteAheadLog, path: str, now: int) -> list[Migration]:
-    """The tenants that live elsewhere than the plan says. What was on its way is ended or undone, and the
-    log holds no more than that afterwards. Raises LogTrouble."""
+def read_migrations(log: WriteAheadLog, path: str, now: int) -> list[Migration]:
+    """Returns the migrations that are done, so that their tenants are not where the plan puts them. Open
+    ones are completed or rolled back, and the log is rewritten to hold no others.
+
+    :param log: open
+    :param path: of the log, for errors
+    :param now: microseconds
+    :raises LogError: a record can't be read, or the disk can't be written
+    """
     try:
-        records = [_STEPS.decode(payload) for payload in log.payloads]
+        records = [_RECORDS.decode(payload) for payload in log.payloads]
     except msgspec.MsgspecError as error:
         hint = "move it away to begin anew without what it held"
         raise CorruptLogError(path, f"a record can't be read: {error}", hint, 0) from error
-    kept = [move for move in recover_migrations(records, now).values() if move.step is MigrationStep.DONE]
-    if len(kept) < len(records):
-        log.rewrite(_encoded(kept))
+    recovered = recover_migrations(records, now).values()
+    done = [migration for migration in recovered if migration.step is MigrationStep.DONE]
+    if len(done) < len(records):
+        log.rewrite(_encode(done))
     log.payloads = []
-    return kept
+    return done
 
 
-def _encoded(moves: Iterable[Migration]) -> list[bytes]:
-    return [msgspec.json.encode(move) for move in moves]
+def _encode(migrations: Iterable[Migration]) -> list[bytes]:
+    return [msgspec.json.encode(migration) for migration in migrations]
 
 
-class MoveWriter(Actor[Migration]):
-    """One step after the other. `log` is None where the disk could not be used at the start: then no step
-    is ever written, and `why` says so."""
+class MigrationWriter(Actor[Migration]):
+    """Writes records in the order in which they are posted, and reports each."""
 
     def __init__(
         self,
         log: WriteAheadLog | None,
-        why: str,
-        tell: Callable[[MigrationPersisted | MigrationNotPersisted], None],
+        missing_reason: str,
+        report: Callable[[MigrationPersisted | MigrationNotPersisted], None],
         supervisor: Supervisor,
     ) -> None:
+        """
+        :param log: open; None: there is none, or the disk could not be used at the start, so that no record
+        is
+            ever written
+        :param missing_reason: why there is no log
+        :param report: takes what became of a record
+        :param supervisor: of the gateway
+        """
         super().__init__("move writer", supervisor)
-        self._log, self._why, self._tell = log, why, tell
+        self._log = log
+        self._missing_reason = missing_reason
+        self._report = report
 
     async def receive(self, message: Migration) -> None:
+        """Writes a record and reports whether it is on disk."""
         if self._log is None:
-            self._tell(MigrationNotPersisted(message, self._why))
+            self._report(MigrationNotPersisted(message, self._missing_reason))
             return
         try:
-            await asyncio.to_thread(self._log.append, *_encoded([message]))
+            await asyncio.to_thread(self._log.append, *_encode([message]))
         except DiskError as error:
             self.supervisor.counters.add("steps of moves not written")
             self.supervisor.log.write("moves", str(error), "error", tenant=message.tenant)
-            self._tell(MigrationNotPersisted(message, str(error)))
+            self._report(MigrationNotPersisted(message, str(error)))
             return
         self.supervisor.counters.add(f"moves {message.step.value}")
-        way = f"{message.source} -> {message.target}"
-        text = f"{message.tenant}: {way}, {message.step.value} {message.why}".rstrip()
+        cells = f"{message.source} -> {message.target}"
+        text = f"{message.tenant}: {cells}, {message.step.value} {message.why}".rstrip()
         self.supervisor.log.write("moves", text, "info", tenant=message.tenant, step=message.step.value)
-        self._tell(MigrationPersisted(message))
+        self._report(MigrationPersisted(message))
 
     def close(self) -> None:
+        """Closes the log."""
         if self._log is not None:
             self._log.close()
--- a/lotusstream/net/subsystems.py
+++ b/lotusstream/net/subsystems.py
@@ -1,5 +1,8 @@
-"""What an operator file turns on beside the decision module: each part in one shape, all named in one place,
-each imported only where the file asks for it."""
+"""The subsystems that an operator file turns on: cells, levels, fleet and control.
+
+All have one shape and are listed in one place. Each is imported only if the file asks for it, because a
+gateway without an operator file has to stay small.
+"""
 
 from __future__ import annotations
 
@@ -25,106 +28,119 @@
     from lotusstream.net.fleet import Fleet
     from lotusstream.net.level_feed import LevelFeed
     from lotusstream.net.operator_service import OperatorService
+    from lotusstream.wal.log import WriteAheadLog
 
 
 @dataclass(frozen=True, slots=True)
 class SubsystemContext:
-    """What every part may use."""
+    """What every subsystem may use."""
 
-    file: OperatorFile
-    given: Configuration
+    file: OperatorFile  # as it was at the start
+    configuration: Configuration
     clock: Clock
     supervisor: Supervisor
 
 
 class Subsystem:
-    """What it sees and adds: events of commands by `beside`, in front of the module; all else as events
-    posted to the decider that `tie` gives. No part calls another but those told by name when it is made."""
+    """Does nothing; subsystems override what they need. `wrap_module` is called for each new decision
+    module, the other methods once, in the order in which they stand here. A subsystem acts on requests by
+    wrapping the module, and on all else by posting events to the decider. It uses no other subsystem but
+    those given when it is made."""
 
-    descriptors = 0  # at most, of the gateway's
+    descriptors = 0  # file descriptors that it uses at most
 
-    def __init__(self, around: SubsystemContext) -> None:
-        self.around = around
+    def __init__(self, context: SubsystemContext) -> None:
+        self.context = context
 
-    def beside(self, module: DecisionModule) -> DecisionModule:
+    def wrap_module(self, module: DecisionModule) -> DecisionModule:
+        """Returns the module with this subsystem in front; called again for each new module."""
         return module
 
-    def tie(self, decider: Decider) -> None: ...
+    def connect(self, decider: Decider) -> None:
+        """Takes the decider to post events to.
+
+        :raises ConfigurationError: the gateway can't start
+        """
 
     def start(self) -> None:
-        """Raises UnusableConfiguration: then the gateway does not start."""
+        """Starts tasks and opens sockets.
 
-    def leave(self) -> None:
-        """A planned stop begins."""
+        :raises ConfigurationError: the gateway can't start
+        """
 
-    async def stop(self) -> None: ...
+    def begin_shutdown(self) -> None:
+        """A graceful shutdown begins; requests are still answered."""
+
+    async def stop(self) -> None:
+        """Stops tasks and closes sockets."""
 
     def close(self) -> None:
-        """Once all tasks have ended."""
+        """Closes files, once all tasks have ended."""
 
 
 class CellsSubsystem(Subsystem):
-    """Confinement, and moves with the log that they rest on. A disk that can't be used stops moves, a log
-    that can't be trusted the start."""
+    """Cells, and migrations with their log. Without a usable disk there are no migrations; with a log that
+    can't be trusted the gateway does not start."""
 
-    def __init__(self, around: SubsystemContext) -> None:
-        super().__init__(around)
+    def __init__(self, context: SubsystemContext) -> None:
+        super().__init__(context)
         from lotusstream.cells.controller import CellController
         from lotusstream.cells.migration import migration_timing
-        from lotusstream.net.migrations import MoveWriter
+        from lotusstream.net.migrations import MigrationWriter
         from lotusstream.wal.errors import LogError
 
-        cells, deployment = around.file.cells, around.given.deployment
+        cells, deployment = context.file.cells, context.configuration.deployment
         assert cells is not None
         try:
-            log, why, moves = self._log(cells.log)
+            log, missing_reason, migrations = self._open_log(cells.log)
         except LogError as error:
             raise ConfigurationError(f"cells: {error}") from error
         profiles = deployment.started.profiles
         self._decider: Decider | None = None
-        self.writer = MoveWriter(log, why, self._tell, around.supervisor)
+        self.writer = MigrationWriter(log, missing_reason, self._post, context.supervisor)
         plan = cells.plan(deployment.zones, deployment.kinds)
-        move_terms = migration_timing(profiles, cells.hold, cells.drain)
-        self.keeper: CellController = CellController(plan, move_terms, profiles, moves, cells.poison)
+        timing = migration_timing(profiles, cells.hold, cells.drain)
+        self.controller: CellController = CellController(plan, timing, profiles, migrations, cells.poison)
 
-    def _log(self, path: str | None):  # type: ignore[no-untyped-def]
-        from lotusstream.net.migrations import read_moves
+    def _open_log(self, path: str | None) -> tuple[WriteAheadLog | None, str, list[Migration]]:
+        """Returns the log, or why there is none, and the migrations in it."""
+        from lotusstream.net.migrations import read_migrations
         from lotusstream.wal.errors import DiskError
         from lotusstream.wal.log import WriteAheadLog
 
-        moves: list[Migration] = []
+        migrations: list[Migration] = []
         if path is None:
-            return None, "the cells have no log", moves
+            return None, "the cells have no log", migrations
         try:
             log = WriteAheadLog(path).open()
-            return log, "", read_moves(log, path, self.around.clock.now())
+            return log, "", read_migrations(log, path, self.context.clock.now())
         except DiskError as error:
-            self.around.supervisor.log.write("moves", f"none can be made: {error}", "error")
-            return None, str(error), moves
+            self.context.supervisor.log.write("moves", f"none can be made: {error}", "error")
+            return None, str(error), migrations
 
-    def _tell(self, event: object) -> None:
+    def _post(self, event: object) -> None:
         assert self._decider is not None
         self._decider.post(SubsystemEvent(event))
 
-    def beside(self, module: DecisionModule) -> DecisionModule:
+    def wrap_module(self, module: DecisionModule) -> DecisionModule:
         from lotusstream.cells.admission import CellAdmission
 
-        log = self.around.supervisor.log
+        log = self.context.supervisor.log
         return CellAdmission(
-            module.handle, self.keeper, self.writer.post, lambda why: log.write("moves", why)
+            module.handle, self.controller, self.writer.post, lambda reason: log.write("moves", reason)
         )
 
     @property
-    def tenants(self) -> TenantLookup:
+    def tenant_lookup(self) -> TenantLookup:
         from lotusstream.cells.tenant_lookup import lookup_tenant
         from lotusstream.protocol.tables import schema_name
 
-        cells = self.keeper
-        return lambda fields, mark, statement: lookup_tenant(
-            cells.plan.sources, fields, mark, lambda: schema_name(statement)
+        cells = self.controller
+        return lambda fields, key, statement: lookup_tenant(
+            cells.plan.sources, fields, key, lambda: schema_name(statement)
         )
 
-    def tie(self, decider: Decider) -> None:
+    def connect(self, decider: Decider) -> None:
         self._decider = decider
 
     def start(self) -> None:
@@ -135,57 +151,58 @@
 
 
 class LevelsSubsystem(Subsystem):
-    """The keeper of levels, in front of all else."""
+    """Degradation levels."""
 
-    def __init__(self, around: SubsystemContext) -> None:
-        super().__init__(around)
+    def __init__(self, context: SubsystemContext) -> None:
+        super().__init__(context)
         from lotusstream.levels.controller import LevelController
 
-        deployment = around.given.deployment
-        assert around.file.ladder is not None
-        self.keeper: LevelController = LevelController(
-            around.file.ladder, deployment.started, deployment.profiles
+        deployment = context.configuration.deployment
+        assert context.file.ladder is not None
+        self.controller: LevelController = LevelController(
+            context.file.ladder, deployment.started, deployment.profiles
         )
 
-    def beside(self, module: DecisionModule) -> DecisionModule:
+    def wrap_module(self, module: DecisionModule) -> DecisionModule:
         from lotusstream.levels.admission import LevelAdmission
 
-        return LevelAdmission(module.handle, self.keeper)
+        return LevelAdmission(module.handle, self.controller)
 
 
 class FleetSubsystem(Subsystem):
-    """Leases, their tasks, and the quorum where this gateway keeps it."""
+    """Leases, their tasks, and the quorum if this gateway is a member of it."""
 
-    def __init__(self, around: SubsystemContext) -> None:
-        super().__init__(around)
-        assert around.file.fleet is not None
-        self.descriptors = around.file.fleet.descriptors(around.given.name)
+    def __init__(self, context: SubsystemContext) -> None:
+        super().__init__(context)
+        assert context.file.fleet is not None
+        self.descriptors = context.file.fleet.descriptors(context.configuration.name)
         self.fleet: Fleet | None = None
 
-    def tie(self, decider: Decider) -> None:
+    def connect(self, decider: Decider) -> None:
         from lotusstream.net.fleet import Fleet
         from lotusstream.wal.errors import LogError
 
-        given, told = self.around.given, self.around.file.fleet
+        given, told = self.context.configuration, self.context.file.fleet
         assert told is not None
         try:
-            clock, supervisor = self.around.clock, self.around.supervisor
+            clock, supervisor = self.context.clock, self.context.supervisor
             self.fleet = Fleet(told, given.name, given.deployment, decider, clock, supervisor)
-            self.anew(self.around.file)
-            self._leave_moves_to_others(decider)
+            self.reload(self.context.file)
+            self._give_up_migrations(decider)
         except LogError as error:
             raise ConfigurationError(f"fleet: {error}") from error
 
-    def _leave_moves_to_others(self, decider: Decider) -> None:
-        """In a fleet a move needs the lease, also where this gateway never asks for it."""
+    def _give_up_migrations(self, decider: Decider) -> None:
+        """In a fleet only the lease holder begins migrations, so a gateway that never requests the lease
+        does not begin any."""
         from lotusstream.cells.messages import MigrationLeaseChanged
         from lotusstream.operator.fleet import MIGRATION_TASK
 
-        told = self.around.file.fleet
-        if told is not None and self.around.file.cells is not None and MIGRATION_TASK not in told.tasks:
+        told = self.context.file.fleet
+        if told is not None and self.context.file.cells is not None and MIGRATION_TASK not in told.tasks:
             decider.post(SubsystemEvent(MigrationLeaseChanged(0)))
 
-    def anew(self, file: OperatorFile) -> None:
+    def reload(self, file: OperatorFile) -> None:
         from lotusstream.net.tasks import PLAN_NOTE_KEY
 
         if self.fleet is not None and file.cells is not None:
@@ -198,7 +215,7 @@
         except OSError as error:
             raise ConfigurationError(f"fleet: peers can't be taken: {error}") from error
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         if self.fleet is not None:
             self.fleet.leave()
 
@@ -208,38 +225,38 @@
 
 
 class ControlSubsystem(Subsystem):
-    """Feeds the keepers of the other parts, and answers on the control socket about all of them."""
+    """Feeds the levels, and answers on the control socket about all subsystems."""
 
     def __init__(
         self,
-        around: SubsystemContext,
+        context: SubsystemContext,
         cells: CellsSubsystem | None,
         levels: LevelsSubsystem | None,
         fleet: FleetSubsystem | None,
     ) -> None:
-        super().__init__(around)
+        super().__init__(context)
         self._cells = cells
         self._levels = levels
         self._fleet = fleet
         self.service: OperatorService | None = None
         self._feed: LevelFeed | None = None
         self._server: ControlServer | None = None
-        socket = around.file.control
+        socket = context.file.control
         self.descriptors = socket.clients + 2 if socket else 0
 
-    def tie(self, decider: Decider) -> None:
+    def connect(self, decider: Decider) -> None:
         from lotusstream.net.level_feed import LevelFeed, OwnUseSampler
         from lotusstream.net.operator_service import OperatedParts, OperatorService, control_server
         from lotusstream.observe.own import OwnUseReader
 
-        file, given, supervisor = self.around.file, self.around.given, self.around.supervisor
+        file, given, supervisor = self.context.file, self.context.configuration, self.context.supervisor
         parts = OperatedParts(
-            levels=self._levels.keeper if self._levels else None,
-            cells=self._cells.keeper if self._cells else None,
+            levels=self._levels.controller if self._levels else None,
+            cells=self._cells.controller if self._cells else None,
             fleet=self._fleet.fleet if self._fleet else None,
         )
         own_use = OwnUseSampler(OwnUseReader(given.cores, given.memory, given.descriptors))
-        clock = self.around.clock
+        clock = self.context.clock
         self.service = OperatorService(file, given, parts, decider, own_use, clock, supervisor)
         self._server = control_server(file, self.service, supervisor)
         if parts.levels is not None or parts.cells is not None:
@@ -252,7 +269,7 @@
             except Exception as error:
                 raise ConfigurationError(f"control: {error}") from error
         if self._feed is not None:
-            self.around.supervisor.start_restarting("levels", self._feed.run)
+            self.context.supervisor.start_restarting("levels", self._feed.run)
 
     async def stop(self) -> None:
         if self._server is not None:
@@ -260,60 +277,68 @@
 
 
 class Subsystems:
-    """All that a file asks for, in the order in which it stands in front of the module: nearest first."""
+    """All subsystems that a file asks for. The first is wrapped around the decision module first, so it is
+    the nearest to it."""
 
     def __init__(
         self, file: OperatorFile, given: Configuration, clock: Clock, supervisor: Supervisor
     ) -> None:
-        """Raises UnusableConfiguration."""
+        """
+        :raises ConfigurationError: a subsystem can't start, or uses too many descriptors
+        """
         self._supervisor, self._name = supervisor, given.name
         if file.log is not None:  # before anything has something to say
             from lotusstream.observe.log import structured
 
             supervisor.log.use(structured(file.log.form, file.log.threshold, given.name))
-        around = SubsystemContext(file, given, clock, supervisor)
-        self.cells = CellsSubsystem(around) if file.cells is not None else None
-        self.levels = LevelsSubsystem(around) if file.ladder is not None else None
-        self.fleet = FleetSubsystem(around) if file.fleet is not None else None
-        self.control = ControlSubsystem(around, self.cells, self.levels, self.fleet)
-        self._all = [each for each in (self.cells, self.levels, self.fleet, self.control) if each is not None]
-        self.descriptors = sum(each.descriptors for each in self._all)
+        context = SubsystemContext(file, given, clock, supervisor)
+        self.cells = CellsSubsystem(context) if file.cells is not None else None
+        self.levels = LevelsSubsystem(context) if file.ladder is not None else None
+        self.fleet = FleetSubsystem(context) if file.fleet is not None else None
+        self.control = ControlSubsystem(context, self.cells, self.levels, self.fleet)
+        self._subsystems = [
+            each for each in (self.cells, self.levels, self.fleet, self.control) if each is not None
+        ]
+        self.descriptors = sum(each.descriptors for each in self._subsystems)
         if self.fleet is not None and self.descriptors > given.descriptors // 2:
             what = f"{self.descriptors} of {given.descriptors} descriptors for peers and control"
             raise ConfigurationError(f"fleet: {what}; lower 'peers-most'")
 
     @property
-    def tenants(self) -> TenantLookup | None:
-        return self.cells.tenants if self.cells else None
+    def tenant_lookup(self) -> TenantLookup | None:
+        return self.cells.tenant_lookup if self.cells else None
 
-    def beside(self, module: DecisionModule) -> DecisionModule:
-        for part in self._all:
-            module = part.beside(module)
+    def wrap_module(self, module: DecisionModule) -> DecisionModule:
+        for subsystem in self._subsystems:
+            module = subsystem.wrap_module(module)
         return module
 
-    def tie(self, decider: Decider) -> None:
-        for part in self._all:
-            part.tie(decider)
+    def connect(self, decider: Decider) -> None:
+        for subsystem in self._subsystems:
+            subsystem.connect(decider)
 
     def start(self) -> None:
-        for part in self._all:
-            part.start()
+        for subsystem in self._subsystems:
+            subsystem.start()
 
-    def leave(self) -> None:
-        for part in self._all:
-            part.leave()
+    def begin_shutdown(self) -> None:
+        for subsystem in self._subsystems:
+            subsystem.begin_shutdown()
 
     async def stop(self) -> None:
-        for part in reversed(self._all):
-            await part.stop()
+        for subsystem in reversed(self._subsystems):
+            await subsystem.stop()
 
     def close(self) -> None:
-        for part in self._all:
-            part.close()
+        for subsystem in self._subsystems:
+            subsystem.close()
 
     def reload(self, read: Callable[[], OperatorFile]) -> None:
-        """Takes another operator file while running, or nothing of one that can't be used or changes what
-        can't change. `read` raises UnusableOperatorFile."""
+        """Puts another operator file in force while the gateway runs. A file with problems, or with changes
+        that need a restart, is rejected as a whole.
+
+        :param read: reads the file; raises OperatorFileError
+        """
         service = self.control.service
         assert service is not None
         counters, log = self._supervisor.counters, self._supervisor.log
@@ -332,5 +357,5 @@
             log.use(structured(new.log.form, new.log.threshold, self._name))
         service.reload(new)
         if self.fleet is not None:
-            self.fleet.anew(new)
+            self.fleet.reload(new)
         log.write("operator", f"{new.path} was read again", "info")
--- a/lotusstream/operator/cells.py
+++ b/lotusstream/operator/cells.py
@@ -28,7 +28,9 @@
 from lotusstream.operator.units import UnknownUnitError, parse_share
 
 SECOND = 1_000_000
-HOLD, DRAIN, MOST_MOVES = 2 * SECOND, 30 * SECOND, 10
+HOLD = 2 * SECOND
+DRAIN = 30 * SECOND
+DRAWN = "drawn"  # in place of a cell's name: by weight
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,58 +212,84 @@
 
 
 def cells_of(file: str, block: Node) -> tuple[CellsText, list[Problem]]:
-    """What is written, and what is wrong with it whatever the gateway."""
-    problems: list[Problem] = []
-
-    def wrong(node: Node, what: str, hint: str, column: int | None = None) -> None:
-        problems.append(Problem(file, node.line, column or node.column, what, hint))
-
-    names = [node.values["a name"] for node in block.all("cell")]
-    tenants: NameTrie[str] = NameTrie()
-    cells = []
-    for node in block.all("cell"):
-        here = node.values["a name"]
-        empty, lender = node.value("empty", "rest", (EmptyCellPolicy.REJECT, None))
+    """Returns the cells as written, and what is wrong with them whatever the gateway's configuration.
+
+    :param file: path of the operator file
+    :param block: the `cells` directive
+    """
+    return _CellsReader(file, block).read()
+
+
+class _CellsReader:
+    """Reads one `cells` block. Problems are found in the order of the file."""
+
+    def __init__(self, file: str, block: Node) -> None:
+        self._file = file
+        self._block = block
+        self._names = [node.values["a name"] for node in block.all("cell")]
+        self._tenants: NameTrie[str] = NameTrie()
+        self._problems: list[Problem] = []
+
+    def read(self) -> tuple[CellsText, list[Problem]]:
+        block = self._block
+        cells = tuple(self._read_cell(node) for node in block.all("cell"))
+        untenanted_cell = block.value("nameless", "a cell")
+        default_cell = block.value("others", "a cell", DRAWN)
+        self._check_cell_name("nameless", untenanted_cell, self._names)
+        self._check_cell_name("others", default_cell, [*self._names, DRAWN])
+        text = CellsText(
+            log=block.value("log", "a path"),
+            sources=tuple(node.values["rest"] for node in block.all("tenant")),
+            hold=block.value("hold", "a time", HOLD),
+            drain=block.value("drain", "a time", DRAIN),
+            seed=block.value("seed", "a number", 0),
+            nameless=untenanted_cell,
+            others=BY_WEIGHT if default_cell == DRAWN else default_cell,
+            cells=cells,
+            tenants=self._tenants,
+            poison=_poison(block, cells),
+            number=block.value("plan", "a number", 0),
+            digest=blake2b(_canonical_text(block).encode(), digest_size=8).hexdigest(),
+        )
+        return text, self._problems
+
+    def _add_problem(self, node: Node, message: str, hint: str, column: int | None = None) -> None:
+        self._problems.append(Problem(self._file, node.line, column or node.column, message, hint))
+
+    def _read_cell(self, node: Node) -> tuple[Cell, tuple[EnginesText, ...]]:
+        name_here = node.values["a name"]
+        empty_policy, lender = node.value("empty", "rest", (EmptyCellPolicy.REJECT, None))
         quarantine = node.one("quarantine") is not None
-        if lender is not None and (lender not in names or lender == here):
-            at = node.one("empty") or node
-            wrong(
-                at,
-                f"no other cell is called '{lender}'",
-                nearest(lender, [n for n in names if n != here] or ["none"]),
-            )
+        self._check_lender(node, name_here, lender)
         if quarantine and (lender is not None or node.one("weight") is not None):
-            wrong(
-                node, f"'{here}' is a quarantine, and borrows or is drawn", "leave 'borrow' and 'weight' out"
-            )
-        for each in node.all("tenants"):
-            for word in each.values["rest"]:
+            message = f"'{name_here}' is a quarantine, and borrows or is drawn"
+            self._add_problem(node, message, "leave 'borrow' and 'weight' out")
+        self._add_tenants(node, name_here)
+        weight = 0.0 if quarantine else float(node.value("weight", "a number", 1))
+        shard_size = node.value("shard", "a number", 0)
+        cell = Cell(name_here, (), shard_size, weight, empty_policy, lender, quarantine)
+        return cell, tuple(each.values["rest"] for each in node.all("engines"))
+
+    def _check_lender(self, node: Node, name_here: str, lender: str | None) -> None:
+        if lender is None or (lender in self._names and lender != name_here):
+            return
+        others = [each for each in self._names if each != name_here] or ["none"]
+        place = node.one("empty") or node
+        self._add_problem(place, f"no other cell is called '{lender}'", nearest(lender, others))
+
+    def _add_tenants(self, node: Node, name_here: str) -> None:
+        for directive in node.all("tenants"):
+            for word in directive.values["rest"]:
                 try:
-                    tenants.add(word.plain(), here)
+                    self._tenants.add(word.plain(), name_here)
                 except PatternError as error:
-                    wrong(each, str(error), "name each tenant or pattern once, in one cell", word.column)
-        weight = 0.0 if quarantine else float(node.value("weight", "a number", 1))
-        cell = Cell(here, (), node.value("shard", "a number", 0), weight, empty, lender, quarantine)
-        cells.append((cell, tuple(each.values["rest"] for each in node.all("engines"))))
-    nameless, others = block.value("nameless", "a cell"), block.value("others", "a cell", "drawn")
-    for keyword, told in (("nameless", nameless), ("others", others)):
-        known = [*names, "drawn"] if keyword == "others" else names
-        if told is not None and told not in known and (node_of := block.one(keyword)):
-            wrong(node_of, f"no cell is called '{told}'", nearest(told, known))
-    return CellsText(
-        block.value("log", "a path"),
-        tuple(node.values["rest"] for node in block.all("tenant")),
-        block.value("hold", "a time", HOLD),
-        block.value("drain", "a time", DRAIN),
-        block.value("seed", "a number", 0),
-        nameless,
-        BY_WEIGHT if others == "drawn" else others,
-        tuple(cells),
-        tenants,
-        _poison(block, cells),
-        block.value("plan", "a number", 0),
-        blake2b(_canonical_text(block).encode(), digest_size=8).hexdigest(),
-    ), problems
+                    hint = "name each tenant or pattern once, in one cell"
+                    self._add_problem(directive, str(error), hint, word.column)
+
+    def _check_cell_name(self, keyword: str, cell_name: str | None, known: list[str]) -> None:
+        directive = self._block.one(keyword)
+        if cell_name is not None and cell_name not in known and directive is not None:
+            self._add_problem(directive, f"no cell is called '{cell_name}'", nearest(cell_name, known))
 
 
 def _canonical_text(node: Node) -> str:
--- a/tests/golden/golden_messages.py
+++ b/tests/golden/golden_messages.py
@@ -18,7 +18,7 @@
 from lotusstream.copies.shards import ReplicaHost, ReplicaId
 from lotusstream.healthcheck.reports import HealthReports, Row
 from lotusstream.leases import table as leases
-from lotusstream.net.migrations import _STEPS as MOVE_DECODER
+from lotusstream.net.migrations import _RECORDS as MIGRATION_DECODER
 from lotusstream.net.raft_node import _RECORD_DECODER as QUORUM_RECORD_DECODER
 from lotusstream.net.replica_store import _LOG_RECORD_DECODER as COPY_RECORD_DECODER
 from lotusstream.net.replica_store import DiskIdentity as CopiesIdentity
@@ -211,7 +211,7 @@
     Family("quorum_records", QUORUM_RECORDS, msgspec.msgpack.encode, QUORUM_RECORD_DECODER.decode),
     Family("copy_records", COPY_RECORDS, msgspec.msgpack.encode, COPY_RECORD_DECODER.decode),
     Family("lease_wishes", LEASE_WISHES, leases.encode_operation, leases._OPERATION_DECODER.decode),
-    Family("moves", MOVES, msgspec.json.encode, MOVE_DECODER.decode),
+    Family("moves", MOVES, msgspec.json.encode, MIGRATION_DECODER.decode),
     Family("control_requests", CONTROL_REQUESTS, control.encode_request,
            without_length(control.decode_request)),
     Family("control_replies", CONTROL_REPLIES, control.encode_reply, without_length(control.decode_reply)),
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -25,7 +25,7 @@
 )
 from golden_stores import FOUNDERS, LEARNER, MADE, write_log
 
-from lotusstream.net.migrations import read_moves
+from lotusstream.net.migrations import read_migrations
 from lotusstream.net.raft_node import open_store
 from lotusstream.net.replica_store import ReplicaStore
 from lotusstream.net.shard_control import _ASSIGNMENT_DECODER as ASSIGNED_DECODER
@@ -125,7 +125,7 @@
     path = stored / "run" / "moves"
     log = WriteAheadLog(str(path)).open()
     assert len(log.payloads) == 10
-    assert read_moves(log, str(path), 5) == [MOVED]
+    assert read_migrations(log, str(path), 5) == [MOVED]
     log.close()
     again = WriteAheadLog(str(path)).open()
     again.close()
