--- a/lotusstream/copies/idempotency.py
+++ b/lotusstream/copies/idempotency.py
@@ -9,7 +9,6 @@
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
@@ -36,6 +35,7 @@
 )
 from lotusstream.copies.messages import IdempotencyRecord, RecordState
 from lotusstream.copies.primary_directory import PrimaryDirectory
+from lotusstream.copies.request_timers import RequestTimers
 from lotusstream.copies.shards import ReplicaHost
 
 
@@ -76,6 +76,14 @@
     retry_at: int = 0  # microseconds
     deadline: int = 0  # microseconds
 
+    def message(self) -> SendToPrimary:
+        """Return the message to the host that is asked."""
+        assert self.wanted is not None
+        completes = self.phase is ClaimPhase.COMPLETING
+        return SendToPrimary(
+            self.asked_host, self.message_number, completes, self.wanted, self.previous_owner
+        )
+
     def claims_place_of(self, attempt: AttemptRequested) -> bool:
         """Whether the committed claim names the endpoints that the attempt goes to."""
         return self.claim is not None and _same_place(self.claim, attempt)
@@ -93,7 +101,7 @@
         self._options = options
         self._directory = PrimaryDirectory(hosts, options.shard_count, options.replica_count)
         self._states: dict[int, _ClaimState] = {}  # by request
-        self._timers: list[tuple[int, int]] = []  # heap of time and request; those of ended ones are skipped
+        self._timers = RequestTimers()
         self._asked: dict[int, int] = {}  # request by message number
         self._message_counter = 0
         self._claim_counter = 0
@@ -122,7 +130,7 @@
     @property
     def next_timer_at(self) -> int | None:
         """When a `ClaimTimeAdvanced` is due, microseconds; None: not at any time."""
-        return self._timers[0][0] if self._timers else None
+        return self._timers.next_at
 
     # Events of this gateway
 
@@ -131,12 +139,15 @@
         self._return_waiting_attempt(state)
         state.newest_attempt = attempt
         state.waiting_attempt = attempt.attempt
+        previous = state.earlier_claim or state.wanted or state.claim
         if state.claims_place_of(attempt):
             self._release_attempt(state)
         elif state.earlier_claim is not None and not _same_place(state.earlier_claim, attempt):
             self._abandon(state, "it may have run elsewhere")
-        else:
-            self._claim_after(state, state.earlier_claim or state.wanted or state.claim)
+        elif previous is None:
+            self._request_claim(state, "", attempt.executing_since)
+        else:  # the new claim goes on from when the one before it may be executed
+            self._request_claim(state, previous.owner, previous.executing_since)
 
     def _on_attempt_cancelled(self, event: AttemptCancelled) -> None:
         state = self._states.get(event.request)
@@ -172,8 +183,7 @@
         self._ask(state)
 
     def _on_time_advanced(self) -> None:
-        while self._timers and self._timers[0][0] <= self._now:
-            _, request = heapq.heappop(self._timers)
+        while (request := self._timers.take_due(self._now)) is not None:
             state = self._states.get(request)
             if state is not None:
                 self._check_timers(state)
@@ -203,26 +213,11 @@
 
     # Messages to the primary
 
-    def _claim_after(self, state: _ClaimState, previous: IdempotencyRecord | None) -> None:
-        """Claim the key; a claim that replaces another one goes on from when that one may be executed."""
-        if previous is None:
-            self._request_claim(state, "", state.newest_attempt.executing_since)
-        else:
-            self._request_claim(state, previous.owner, previous.executing_since)
-
     def _request_claim(self, state: _ClaimState, previous_owner: str, executing_since: int) -> None:
         attempt = state.newest_attempt
         self._claim_counter += 1
-        state.wanted = IdempotencyRecord(
-            key=attempt.key,
-            request_digest=attempt.request_digest,
-            state=RecordState.SENT,
-            owner=f"{self._owner_prefix(attempt)}{self._claim_counter}",
-            expires_at=attempt.expires_at,
-            zone=attempt.zone,
-            cell=attempt.cell,
-            executing_since=executing_since,
-        )
+        owner = f"{self._owner_prefix(attempt)}{self._claim_counter}"
+        state.wanted = _new_claim(attempt, owner, executing_since)
         state.phase = ClaimPhase.CLAIMING
         state.previous_owner = previous_owner
         state.deadline = attempt.deadline
@@ -233,25 +228,18 @@
         return f"{self._session}/{attempt.request}/"
 
     def _ask(self, state: _ClaimState) -> None:
-        assert state.wanted is not None
         self._asked.pop(state.message_number, None)
         self._message_counter += 1
         state.message_number = self._message_counter
         state.asked_host = self._directory.choose(state.newest_attempt.key, state.skipped_hosts)
         self._retry_in(state, self._options.reply_timeout)
         self._asked[state.message_number] = state.newest_attempt.request
-        completes = state.phase is ClaimPhase.COMPLETING
-        self._actions.append(
-            SendToPrimary(
-                state.asked_host, state.message_number, completes, state.wanted, state.previous_owner
-            )
-        )
+        self._actions.append(state.message())
 
     def _retry_in(self, state: _ClaimState, delay: int) -> None:
         """Arm a timer for the next try, or for the deadline if that is earlier. Microseconds."""
         state.retry_at = self._now + delay
-        due = min(state.retry_at, state.deadline)
-        heapq.heappush(self._timers, (due, state.newest_attempt.request))
+        self._timers.arm(min(state.retry_at, state.deadline), state.newest_attempt.request)
 
     def _check_timers(self, state: _ClaimState) -> None:
         if state.phase is ClaimPhase.IDLE:
@@ -347,12 +335,25 @@
         state.claim = None
         state.executed_elsewhere = True
         request = state.newest_attempt.request
-        self._actions.append(
-            ReportEarlierExecution(request, record.zone, record.cell, record.executing_since)
-        )
+        report = ReportEarlierExecution(request, record.zone, record.cell, record.executing_since)
+        self._actions.append(report)
         self._return_waiting_attempt(state)
 
 
+def _new_claim(attempt: AttemptRequested, owner: str, executing_since: int) -> IdempotencyRecord:
+    """Return the claim for an attempt."""
+    return IdempotencyRecord(
+        key=attempt.key,
+        request_digest=attempt.request_digest,
+        state=RecordState.SENT,
+        owner=owner,
+        expires_at=attempt.expires_at,
+        zone=attempt.zone,
+        cell=attempt.cell,
+        executing_since=executing_since,
+    )
+
+
 def _same_place(record: IdempotencyRecord, attempt: AttemptRequested) -> bool:
     """Whether a record names the endpoints that an attempt goes to."""
     return (record.zone, record.cell) == (attempt.zone, attempt.cell)
--- /dev/null
+++ b/lotusstream/copies/request_timers.py
@@ -0,0 +1,28 @@
+"""Timers of requests, the earliest first."""
+
+from __future__ import annotations
+
+import heapq
+
+
+class RequestTimers:
+    """A heap of times and requests. A request may have several; those of ended requests fire too."""
+
+    def __init__(self) -> None:
+        self._timers: list[tuple[int, int]] = []
+
+    def arm(self, due: int, request: int) -> None:
+        """Add a timer that fires at this time, microseconds."""
+        heapq.heappush(self._timers, (due, request))
+
+    @property
+    def next_at(self) -> int | None:
+        """When the earliest timer fires, microseconds; None: there is none."""
+        return self._timers[0][0] if self._timers else None
+
+    def take_due(self, now: int) -> int | None:
+        """Remove the earliest timer, if it is due, and return its request."""
+        if not self._timers or self._timers[0][0] > now:
+            return None
+        _, request = heapq.heappop(self._timers)
+        return request
--- a/lotusstream/net/replication.py
+++ b/lotusstream/net/replication.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 import uuid
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Any
 
@@ -30,6 +30,7 @@
     SendReplicaMessage,
     ShutdownStarted,
 )
+from lotusstream.copies.shard_replica import ShardReplica
 from lotusstream.copies.shards import ReplicaHost, ReplicaId, shard_of
 from lotusstream.net import clock
 from lotusstream.net.actor import Actor, Supervisor
@@ -61,6 +62,28 @@
     frame: wire.ReplicaHeartbeatReply
 
 
+class _SentHeartbeats:
+    """When the heartbeats of the last lease were sent. Times in microseconds."""
+
+    def __init__(self, lease_us: int) -> None:
+        self._lease_us = lease_us
+        self._newest_number = 0
+        self._sent_at: dict[int, int] = {}  # by number
+
+    def add(self, now: int) -> int:
+        """Note a heartbeat that is sent now, and return its number."""
+        self._newest_number += 1
+        self._sent_at = {
+            number: sent_at for number, sent_at in self._sent_at.items() if now - sent_at < self._lease_us
+        }
+        self._sent_at[self._newest_number] = now
+        return self._newest_number
+
+    def sent_at(self, number: int) -> int | None:
+        """Return when a heartbeat was sent, None where that is longer ago than a lease."""
+        return self._sent_at.get(number)
+
+
 class ReplicationActor(Actor[Any]):
     """Drives a `ReplicaSet`. After a failure of the disk it does nothing until the gateway is restarted."""
 
@@ -97,8 +120,7 @@
         self._failure = ""  # of the disk; "": none
         self._requests: dict[int, _RequestReceived] = {}  # not answered yet, by ticket
         self._newest_ticket = 0
-        self._heartbeats_sent_at: dict[int, int] = {}  # microseconds, by number
-        self._newest_heartbeat = 0
+        self._sent_heartbeats = _SentHeartbeats(options.leases.duration_us)
         self._answered_at = 0  # microseconds: when the controller has last answered a heartbeat
         self.controller = ""  # name of the gateway that controls the shards; "": not known
         self.primaries: dict[int, ReplicaId] = {}  # by shard, as the controller has told last
@@ -140,17 +162,9 @@
     def _send_heartbeat(self) -> None:
         if not self.controller or self._failure:
             return
-        now = clock.boot_clock()
-        lease_us = self._options.leases.duration_us
-        self._newest_heartbeat += 1
-        self._heartbeats_sent_at = {
-            number: sent_at
-            for number, sent_at in self._heartbeats_sent_at.items()
-            if now - sent_at < lease_us
-        }
-        self._heartbeats_sent_at[self._newest_heartbeat] = now
+        number = self._sent_heartbeats.add(clock.boot_clock())
         heartbeat = wire.ReplicaHeartbeat(
-            self._newest_heartbeat,
+            number,
             self.host,
             self.replicas.session,
             self.replicas.caught_up_replicas(),
@@ -200,7 +214,7 @@
     def _on_heartbeat_reply(self, reply: wire.ReplicaHeartbeatReply) -> None:
         for assignment in reply.assigned:
             self._handle(AssignmentLearned(assignment))
-        sent_at = self._heartbeats_sent_at.get(reply.number)
+        sent_at = self._sent_heartbeats.sent_at(reply.number)
         if sent_at is not None:
             self._answered_at = clock.boot_clock()
             self.primaries = dict(reply.homes)
@@ -228,7 +242,7 @@
             case SendReplicaMessage(to, message):
                 self._send_frame(to.name, wire.ReplicationFrame(self.host.replica_id, to, message))
             case Committed(ticket):
-                self._reply(ticket, ClaimOutcome.COMMITTED)
+                self._reply(ticket, ClaimOutcome.COMMITTED, None)
             case AlreadyRecorded(ticket, record):
                 self._reply(ticket, ClaimOutcome.ALREADY_RECORDED, record)
             case NotCommitted():
@@ -236,41 +250,25 @@
             case ReportDivergence():
                 self._log_divergence(action)
 
-    def _reply(
-        self,
-        ticket: int,
-        outcome: ClaimOutcome,
-        record: IdempotencyRecord | None = None,
-        reason: str = "",
-        primary: str = "",
-    ) -> None:
+    def _reply(self, ticket: int, outcome: ClaimOutcome, record: IdempotencyRecord | None) -> None:
         request = self._requests.pop(ticket, None)
         if request is not None:
-            number = request.frame.number
-            request.send_reply(wire.CommitmentReply(number, outcome.value, record, reason, primary))
+            request.send_reply(wire.CommitmentReply(request.frame.number, outcome.value, record, "", ""))
 
     def _reply_not_committed(self, refusal: NotCommitted) -> None:
+        request = self._requests.pop(refusal.ticket, None)
+        if request is None:
+            return
         outcome = ClaimOutcome.UNKNOWN if refusal.outcome_unknown else ClaimOutcome.NOT_COMMITTED
         primary = refusal.primary
-        request = self._requests.get(refusal.ticket)
-        if request is not None and outcome is ClaimOutcome.NOT_COMMITTED and not primary:
-            primary = self._other_primary(request.frame.holding.key)
-        self._reply(refusal.ticket, outcome, None, refusal.reason, primary)
-
-    def _other_primary(self, key: str) -> str:
-        """Return the gateway that the controller has told as primary of a key; "" if it is this one."""
-        replica_id = self.primaries.get(shard_of(key, self._options.shard_count))
-        if replica_id is None or replica_id == self.host.replica_id:
-            return ""
-        return replica_id.name
+        if outcome is ClaimOutcome.NOT_COMMITTED and not primary:
+            shard = shard_of(request.frame.holding.key, self._options.shard_count)
+            primary = _name_of_other(self.primaries.get(shard), self.host.replica_id)
+        number = request.frame.number
+        request.send_reply(wire.CommitmentReply(number, outcome.value, None, refusal.reason, primary))
 
     def _log_divergence(self, report: ReportDivergence) -> None:
-        outcome = "nobody can tell which is right"
-        if report.refilled:
-            outcome = f"{', '.join(each.name for each in report.refilled)} filled anew"
-        elif report.next_primary:
-            outcome = f"{report.next_primary.name} is to be home"
-        text = f"copies of shard {report.shard} differ: {outcome}"
+        text = _divergence_text(report)
         self.supervisor.counters.add("copies found to differ")
         self.supervisor.log.write("copies", text, "error", shard=report.shard)
 
@@ -287,7 +285,9 @@
             writes = self._unsaved
             self._unsaved = []
             is_rewrite = self._store.is_due_for_rewrite or self._rewrite_requested
-            snapshot = self._snapshot() if is_rewrite else None
+            snapshot = None
+            if is_rewrite:
+                snapshot = _snapshot(self.replicas.shards.values(), self._options.part_bytes)
             self._rewrite_requested = False
             try:
                 await asyncio.to_thread(self._store.write, writes, snapshot)
@@ -303,17 +303,6 @@
         self.supervisor.counters.add("copies disk failures")
         self.supervisor.log.write("copies", f"this holder stands still: {error}", "error")
 
-    def _snapshot(self) -> list[LogRecord]:
-        """Return log records of all shards as they are now."""
-        part_bytes = self._options.part_bytes
-        return [
-            record
-            for shard in self.replicas.shards.values()
-            for record in snapshot_log_records(
-                shard.number, shard.position, shard.records.values(), part_bytes
-            )
-        ]
-
     async def _check_log(self) -> None:
         """Read the log again once in an anti-entropy interval, and rewrite a damaged one from memory.
 
@@ -336,21 +325,6 @@
 
     def view(self) -> dict[str, Any]:
         """Return what is printed for operators; its keys are the form of `ctl --json`."""
-        shards = []
-        for shard in self.replicas.shards.values():
-            assignment = shard.assignment
-            if assignment is None or shard.deposed:
-                continue
-            shards.append(
-                {
-                    "shard": shard.number,
-                    "epoch": assignment.epoch,
-                    "home": assignment.primary.name,
-                    "copies": [each.name for each in assignment.backups],
-                    "joining": [each.name for each in assignment.joining],
-                    "keys": len(shard.records),
-                }
-            )
         return {
             "holder": self.host.replica_id.name,
             "disk": self.host.replica_id.disk,
@@ -360,9 +334,52 @@
             "leased": self.replicas.has_lease,
             "trouble": self._failure,
             "size": self.replicas.size_bytes,
-            "shards": shards,
+            "shards": _shard_rows(self.replicas.shards.values()),
         }
 
 
+def _shard_rows(shards: Iterable[ShardReplica]) -> list[dict[str, Any]]:
+    """Return a row for each shard whose assignment is in force, as far as is known here."""
+    rows: list[dict[str, Any]] = []
+    for shard in shards:
+        assignment = shard.assignment
+        if assignment is None or shard.deposed:
+            continue
+        rows.append(
+            {
+                "shard": shard.number,
+                "epoch": assignment.epoch,
+                "home": assignment.primary.name,
+                "copies": [each.name for each in assignment.backups],
+                "joining": [each.name for each in assignment.joining],
+                "keys": len(shard.records),
+            }
+        )
+    return rows
+
+
+def _snapshot(shards: Iterable[ShardReplica], part_bytes: int) -> list[LogRecord]:
+    """Return log records of all shards as they are now."""
+    return [
+        record
+        for shard in shards
+        for record in snapshot_log_records(shard.number, shard.position, shard.records.values(), part_bytes)
+    ]
+
+
+def _name_of_other(replica_id: ReplicaId | None, own: ReplicaId) -> str:
+    """Return a replica's name, "" if it is not known or the own one."""
+    return "" if replica_id is None or replica_id == own else replica_id.name
+
+
+def _divergence_text(report: ReportDivergence) -> str:
+    outcome = "nobody can tell which is right"
+    if report.refilled:
+        outcome = f"{', '.join(each.name for each in report.refilled)} filled anew"
+    elif report.next_primary:
+        outcome = f"{report.next_primary.name} is to be home"
+    return f"copies of shard {report.shard} differ: {outcome}"
+
+
 def _unix_time_us() -> int:
     return time.time_ns() // 1000
