--- a/lotusstream/net/replication.py
+++ b/lotusstream/net/replication.py
@@ -268,9 +268,8 @@
         request.send_reply(wire.CommitmentReply(number, outcome.value, None, refusal.reason, primary))
 
     def _log_divergence(self, report: ReportDivergence) -> None:
-        text = _divergence_text(report)
         self.supervisor.counters.add("copies found to differ")
-        self.supervisor.log.write("copies", text, "error", shard=report.shard)
+        self.supervisor.log.write("copies", _divergence_text(report), "error", shard=report.shard)
 
     # The log
 
@@ -285,9 +284,7 @@
             writes = self._unsaved
             self._unsaved = []
             is_rewrite = self._store.is_due_for_rewrite or self._rewrite_requested
-            snapshot = None
-            if is_rewrite:
-                snapshot = _snapshot(self.replicas.shards.values(), self._options.part_bytes)
+            snapshot = _snapshot(self.replicas, self._options.part_bytes) if is_rewrite else None
             self._rewrite_requested = False
             try:
                 await asyncio.to_thread(self._store.write, writes, snapshot)
@@ -358,11 +355,11 @@
     return rows
 
 
-def _snapshot(shards: Iterable[ShardReplica], part_bytes: int) -> list[LogRecord]:
+def _snapshot(replicas: ReplicaSet, part_bytes: int) -> list[LogRecord]:
     """Return log records of all shards as they are now."""
     return [
         record
-        for shard in shards
+        for shard in replicas.shards.values()
         for record in snapshot_log_records(shard.number, shard.position, shard.records.values(), part_bytes)
     ]
 
