--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -1,30 +1,25 @@
-"""A gateway's part in the fleet: it asks for leases, carries out its tasks, may be a keeper of the quorum.
-Imported only where the operator file has a fleet."""
+"""A gateway's part in the fleet: it acquires leases, does its tasks, and may be a node of the quorum.
+
+Imported only where the operator file has a fleet.
+"""
 
 from __future__ import annotations
 
-import asyncio
-import uuid
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from lotusstream.deployment import Deployment
 from lotusstream.leases import holder as hold
-from lotusstream.leases.service import (
-    LEASE_FREED_NUMBER,
-    LeaseOperationReceived,
-    LeaseTableReadReceived,
-    MembershipChangeReceived,
-)
-from lotusstream.leases.table import PutNote, RevokeLease
-from lotusstream.net import clock
-from lotusstream.net.actor import Actor, Supervisor
+from lotusstream.leases.table import PutNote
+from lotusstream.net.actor import Supervisor
 from lotusstream.net.clock import Clock
-from lotusstream.net.connection import US
-from lotusstream.net.control import ControlRejectedError
 from lotusstream.net.decider import Decider
-from lotusstream.net.peers import PeerLimits, PeerLink, PeerServer, ReplyCallback
+from lotusstream.net.fleet_control import FleetControl
+from lotusstream.net.lease_holder import LeaseHolderActor
+from lotusstream.net.peers import FrameHandler, PeerLimits, PeerLink, PeerServer, ReplyCallback
+from lotusstream.net.quorum_client import QuorumClient, quorum_event
 from lotusstream.net.raft_node import RaftActor, RaftActorOptions, open_store
-from lotusstream.net.tasks import TASK_FACTORIES, AgreeOnNote, FleetTask, TaskContext, TaskFactories
+from lotusstream.net.tasks import TASK_FACTORIES, FleetTask, TaskContext, TaskFactories
 from lotusstream.operator.fleet import (
     HEALTH_CHECK_TASK,
     SHARD_CONTROL_TASK,
@@ -42,178 +37,50 @@
     from lotusstream.net.replication import ReplicationActor
     from lotusstream.net.shard_control import ShardControllerTask
 
-QUORUM_REPLY_TIMEOUT_S = 3.0  # seconds, of an operator's question
-
-
-class LeaseHolderActor(Actor[hold.LeaseHolderEvent]):
-    """Drives the holder on the clock that counts sleep, and the tasks by what it says."""
-
-    def __init__(
-        self,
-        name: str,
-        told: FleetSettings,
-        seed: int,
-        ask: Any,
-        agree: AgreeOnNote,
-        makers: TaskFactories,
-        decider: Decider,
-        supervisor: Supervisor,
-    ) -> None:
-        super().__init__("leases", supervisor)
-        names = [each.name for each in told.quorum_members]
-        session = f"{name}-{uuid.uuid4().hex[:12]}"
-        self.holder = hold.LeaseHolder(name, session, names, told.lease_timing, seed)
-        self._send_operation = ask
-        self._timer: asyncio.TimerHandle | None = None
-        self.held_since: dict[str, int] = {}
-        self.tokens: dict[str, int] = {}
-        self.tasks: dict[str, FleetTask] = {
-            task: makers[task](TaskContext(name, self._may_act(task), decider.post, supervisor, agree))
-            for task in told.tasks
-        }
-
-    def _may_act(self, task: str) -> Any:
-        return lambda: self.holder.may_act(clock.boot_clock(), task)
-
-    def start(self) -> None:
-        super().start()
-        for name, task in self.tasks.items():
-            task.stop("not held yet")
-            self.post(hold.LeaseWanted(name))
-
-    async def receive(self, message: hold.LeaseHolderEvent) -> None:
-        now = clock.boot_clock()
-        for action in self.holder.handle(now, message):
-            match action:
-                case hold.SendLeaseOperation(number, keeper, wish):
-                    self._send_operation(keeper, number, wish)
-                case hold.StartTask(task, token):
-                    self.held_since[task], self.tokens[task] = now, token
-                    self.supervisor.counters.add("leases got")
-                    self._say(task, token, f"held here under token {token}")
-                    self.tasks[task].activate(token)
-                case hold.StopTask(task, token, why):
-                    self.held_since.pop(task, None)
-                    self.tokens.pop(task, None)
-                    self.supervisor.counters.add("leases ended")
-                    self._say(task, token, f"token {token} not held here any more: {why}")
-                    self.tasks[task].stop(why)
-        if self._timer is not None:
-            self._timer.cancel()
-        pause = max(1000, self.holder.next_timer_at - clock.boot_clock())
-        self._timer = asyncio.get_running_loop().call_later(pause / US, self.post, hold.LeaseTimeAdvanced())
-
-    def restart_tasks(self) -> None:
-        """What tasks rest on was read anew."""
-        for task, token in self.tokens.items():
-            self.tasks[task].stop("its settings were read anew")
-            self.tasks[task].activate(token)
-
-    def _say(self, task: str, token: int, text: str) -> None:
-        self.supervisor.log.write("lease", f"{task}: {text}", "info", task=task, token=token)
-
-    async def stop(self) -> None:
-        await super().stop()
-        if self._timer is not None:
-            self._timer.cancel()
+IDLE_LEASES_PER_LINK = 3  # a link without a frame for so many lease durations is closed
 
 
 class Fleet:
+    """Builds the parts that the operator file turns on, and gives each frame to the part that it is for."""
+
     def __init__(
         self,
-        told: FleetSettings,
+        settings: FleetSettings,
         name: str,
         deployment: Deployment,
         decider: Decider,
         clock: Clock,
         supervisor: Supervisor,
     ) -> None:
-        """Raises LogTrouble where this keeper's log can't be trusted."""
+        """Raises LogError where a log of this gateway can't be trusted."""
+        self.settings = settings
+        self.name = name
         seed = deployment.started.seed
-        self._settings, self._name, self._supervisor = told, name, supervisor
-        self._pending_replies: dict[int, asyncio.Future[wire.QuorumReply]] = {}
-        self._number = 0
-        manners = PeerLimits(told.group, name, told.peer_timeout_us, told.max_peer_connections)
-        idle = 3 * told.lease_timing.duration_us
-        others: tuple[QuorumMemberAddress, ...] = (*told.quorum_members, *told.replicas)
-        self.links = {
-            each.name: PeerLink(
-                each.name, (each.host, each.port), manners, idle, self._on_link_frame, supervisor
-            )
-            for each in others
-            if each.name != name
-        }
-        self.raft_actor: RaftActor | None = None
-        self._server: PeerServer | None = None
-        self.copies: ReplicationActor | None = None
-        self._shard_control_task: ShardControllerTask | None = None
-        here = told.quorum_member(name) or told.replica(name)
-        if here is not None:
-            self._server = PeerServer(
-                told.listen or (here.host, here.port), manners, self._on_frame, supervisor
-            )
-        if told.quorum_member(name) is not None:
-            assert told.store is not None
-            try:
-                store = open_store(told.store)
-            except DiskError as error:
-                store = None
-                supervisor.log.write("quorum", f"this keeper stands still: {error}", "error")
-            named = tuple(each.name for each in told.quorum_members)
-            terms = RaftActorOptions(name, told.store, named, told.raft_timing, told.lease_timing, seed)
-            self.raft_actor = RaftActor(terms, store, self._send_envelope, supervisor)
-        self.proposed_notes: dict[
-            str, tuple[int, str]
-        ] = {}  # by key: version and value that this gateway knows
-        makers = dict(TASK_FACTORIES)
-        if told.copies is not None:
-            makers[SHARD_CONTROL_TASK] = self._make_manager
+        self._deployment = deployment
+        self._decider = decider
+        self._supervisor = supervisor
+        self._member_names = tuple(member.name for member in settings.quorum_members)
+        limits = _peer_limits(settings, name)
+        self.links = _make_links(settings, name, limits, self._on_link_frame, supervisor)
+        self.server = self._make_server(limits)
+        self.raft_actor = _make_raft_actor(settings, name, seed, self._send_envelope, supervisor)
+        self.quorum_client = QuorumClient(
+            name, self._member_names, self.links, self.raft_actor, self._notify_lease_holder
+        )
+        self.proposed_notes: dict[str, tuple[int, str]] = {}  # by key: version and value known here
+        self.shard_control_task: ShardControllerTask | None = None
         self._health_report_service: HealthReportService | None = None
         self.health_reports: PeerReportsActor | None = None
-        if told.health_checks is not None:
-            from lotusstream.net.health_checks import HealthCheckTask, HealthReportService, PeerReportsActor
-
-            examine, wait = told.health_checks, deployment.connect_timeout
-            keepers = tuple(each.name for each in told.quorum_members)
-            makers[HEALTH_CHECK_TASK] = lambda around: HealthCheckTask(
-                around, examine, wait, decider, keepers, self._send_frame
-            )
-            self.health_reports = PeerReportsActor(
-                name, keepers, examine, self._send_frame, decider, supervisor
-            )
-            if self.raft_actor is not None:
-                self._health_report_service = HealthReportService(examine, self._newest_health_check_token)
-        if (holds := told.replica(name)) is not None and told.copies is not None:
-            from lotusstream.net.replication import ReplicationActor
-
-            assert told.store is not None
-            machine, zone = holds.machine, holds.zone
-            self.copies = ReplicationActor(
-                name,
-                machine,
-                zone,
-                told.copies,
-                told.store,
-                self._send_frame,
-                self._read_lease_table,
-                supervisor,
-            )
-        self.commitments: CommitmentActor | None = None
-        if told.idempotency_retention_us is not None:
-            from lotusstream.net.commitments import CommitmentActor
-
-            self.commitments = CommitmentActor(
-                name, told, deployment, decider, clock, self._send_frame, supervisor
-            )
-            decider.set_commitment_gate(self.commitments)
-        self.lease_holder = LeaseHolderActor(
-            name, told, seed, self._send_operation, self._agree_on_note, makers, decider, supervisor
-        )
+        task_factories = self._make_task_factories()
+        self.copies = self._make_copies()
+        self.commitments = self._make_commitments(clock)
+        self.lease_holder = self._make_lease_holder(seed, task_factories)
+        self.control = FleetControl(self)
 
     def start(self) -> None:
-        """Raises OSError where peers can't be taken."""
-        if self._server is not None:
-            self._server.start()
+        """Starts all parts. Raises OSError where the address for peers can't be had."""
+        if self.server is not None:
+            self.server.start()
         if self.raft_actor is not None:
             self.raft_actor.start()
         for link in self.links.values():
@@ -227,7 +94,7 @@
             self.health_reports.start()
 
     def leave(self) -> None:
-        """A planned stop: leases are released and leadership is handed over, as far as that goes at once."""
+        """A planned stop: releases leases and transfers leadership, as far as that goes at once."""
         if self.copies is not None:
             self.copies.begin_shutdown()
         for task in self.lease_holder.tasks:
@@ -236,240 +103,231 @@
             self.raft_actor.post(ev.ShutdownRequested())
 
     async def stop(self) -> None:
+        """Ends all parts."""
         await self.lease_holder.stop()
         if self.copies is not None:
             await self.copies.stop()
-        if self._server is not None:
-            self._server.stop()
+        if self.server is not None:
+            self.server.stop()
         if self.raft_actor is not None:
             await self.raft_actor.stop()
 
-    # Words of others
+    def propose_note(self, key: str, version: int, value: str) -> None:
+        """Has the tasks agree on a new version of a note, if it is new."""
+        if self.proposed_notes.get(key) != (version, value):
+            self.proposed_notes[key] = (version, value)
+            self.lease_holder.restart_tasks()
 
-    def _on_frame(self, frame: wire.PeerFrame, sender: str, answer: ReplyCallback) -> None:
-        """By a connection that another gateway has opened."""
-        if isinstance(frame, wire.ReplicaHeartbeat):
-            if self._shard_control_task is not None:
-                self._shard_control_task.post(frame)
-            return
-        if isinstance(frame, wire.ReplicationFrame) and frame.source.name != sender:
-            return
-        if isinstance(frame, wire.ReplicationFrame | wire.CommitmentRequest | wire.ReplicaHeartbeatReply):
-            if self.copies is not None:
-                self.copies.on_frame(frame, answer)
-            return
-        if self.raft_actor is None:
+    # The parts
+
+    def _make_server(self, limits: PeerLimits) -> PeerServer | None:
+        settings = self.settings
+        own = settings.quorum_member(self.name) or settings.replica(self.name)
+        if own is None:
+            return None
+        address = settings.listen or (own.host, own.port)
+        return PeerServer(address, limits, self._on_frame, self._supervisor)
+
+    def _make_lease_holder(self, seed: int, task_factories: TaskFactories) -> LeaseHolderActor:
+        return LeaseHolderActor(
+            self.name,
+            self.settings,
+            seed,
+            self.quorum_client.send_operation,
+            self._agree_on_note,
+            task_factories,
+            self._decider,
+            self._supervisor,
+        )
+
+    def _make_task_factories(self) -> TaskFactories:
+        task_factories = dict(TASK_FACTORIES)
+        if self.settings.copies is not None:
+            task_factories[SHARD_CONTROL_TASK] = self._make_shard_control_task
+        self._add_health_checks(task_factories)
+        return task_factories
+
+    def _add_health_checks(self, task_factories: TaskFactories) -> None:
+        options = self.settings.health_checks
+        if options is None:
             return
-        if self._health_report_service is not None and isinstance(frame, wire.HealthReportSubscription):
-            self._health_report_service.hear(frame, sender, answer)
-        elif self._health_report_service is not None and isinstance(frame, wire.HealthReportFrame):
-            self._health_report_service.take(frame.reports)
+        from lotusstream.net.health_checks import HealthCheckTask, HealthReportService, PeerReportsActor
+
+        connect_timeout = self._deployment.connect_timeout
+        task_factories[HEALTH_CHECK_TASK] = lambda context: HealthCheckTask(
+            context, options, connect_timeout, self._decider, self._member_names, self._send_frame
+        )
+        self.health_reports = PeerReportsActor(
+            self.name, self._member_names, options, self._send_frame, self._decider, self._supervisor
+        )
+        if self.raft_actor is not None:
+            self._health_report_service = HealthReportService(options, self._newest_health_check_token)
+
+    def _make_copies(self) -> ReplicationActor | None:
+        settings = self.settings
+        own = settings.replica(self.name)
+        if own is None or settings.copies is None:
+            return None
+        from lotusstream.net.replication import ReplicationActor
+
+        assert settings.store is not None
+        return ReplicationActor(
+            self.name,
+            own.machine,
+            own.zone,
+            settings.copies,
+            settings.store,
+            self._send_frame,
+            self.quorum_client.read_lease_table,
+            self._supervisor,
+        )
+
+    def _make_commitments(self, clock: Clock) -> CommitmentActor | None:
+        if self.settings.idempotency_retention_us is None:
+            return None
+        from lotusstream.net.commitments import CommitmentActor
+
+        commitments = CommitmentActor(
+            self.name,
+            self.settings,
+            self._deployment,
+            self._decider,
+            clock,
+            self._send_frame,
+            self._supervisor,
+        )
+        self._decider.set_commitment_gate(commitments)
+        return commitments
+
+    def _make_shard_control_task(self, context: TaskContext) -> FleetTask:
+        from lotusstream.net.shard_control import ShardControllerTask
+
+        assert self.settings.copies is not None
+        self.shard_control_task = ShardControllerTask(
+            context,
+            self.settings.copies,
+            self._send_frame,
+            self._put_shard_note,
+            self.quorum_client.read_lease_table,
+        )
+        return self.shard_control_task
+
+    # Frames of other gateways
+
+    def _on_frame(self, frame: wire.PeerFrame, sender: str, reply: ReplyCallback) -> None:
+        """On a connection that another gateway has opened."""
+        match frame:
+            case wire.ReplicaHeartbeat():
+                if self.shard_control_task is not None:
+                    self.shard_control_task.post(frame)
+            case wire.ReplicationFrame() | wire.CommitmentRequest() | wire.ReplicaHeartbeatReply():
+                is_foreign = isinstance(frame, wire.ReplicationFrame) and frame.source.name != sender
+                if self.copies is not None and not is_foreign:
+                    self.copies.on_frame(frame, reply)
+            case _:
+                if self.raft_actor is not None:
+                    self._on_quorum_frame(self.raft_actor, frame, sender, reply)
+
+    def _on_quorum_frame(
+        self, raft_actor: RaftActor, frame: wire.PeerFrame, sender: str, reply: ReplyCallback
+    ) -> None:
+        """A frame for a node of the quorum."""
         match frame:
+            case wire.HealthReportSubscription():
+                if self._health_report_service is not None:
+                    self._health_report_service.hear(frame, sender, reply)
+            case wire.HealthReportFrame():
+                if self._health_report_service is not None:
+                    self._health_report_service.take(frame.reports)
             case wire.RaftFrame(envelope):
                 if envelope.sender == sender:
-                    self.raft_actor.post(ev.MessageReceived(envelope))
-            case wire.LeaseOperationRequest(number, wish):
-                self.raft_actor.post(LeaseOperationReceived(answer, number, wish))
-            case wire.LeaseTableRequest(number):
-                self.raft_actor.post(LeaseTableReadReceived(answer, number))
-            case wire.MembershipChangeRequest(number, name, add):
-                self.raft_actor.post(MembershipChangeReceived(answer, number, name, add))
-
-    def _on_link_frame(self, frame: wire.PeerFrame, _sender: str, _answer: ReplyCallback) -> None:
+                    raft_actor.post(ev.MessageReceived(envelope))
+            case wire.LeaseOperationRequest() | wire.LeaseTableRequest() | wire.MembershipChangeRequest():
+                raft_actor.post(quorum_event(frame, reply))
+
+    def _on_link_frame(self, frame: wire.PeerFrame, _sender: str, _reply: ReplyCallback) -> None:
+        """On a connection that this gateway has opened."""
         if isinstance(frame, wire.QuorumReply):
-            self._on_quorum_reply(frame)
+            self.quorum_client.on_reply(frame)
         else:
             self._on_reply_frame(frame)
 
     def _on_reply_frame(self, frame: wire.PeerFrame) -> None:
-        """By another gateway, or by this one to itself."""
+        """An answer of another gateway, or of this one to itself."""
         if self.commitments is not None and isinstance(frame, wire.CommitmentReply):
             self.commitments.post(frame)
         elif self.health_reports is not None and isinstance(frame, wire.HealthReportFrame):
             self.health_reports.heard(frame)
 
     def _newest_health_check_token(self) -> int:
-        """Its token, as far as this keeper has heard."""
-        desk = self.raft_actor.service if self.raft_actor is not None else None
-        lease = desk.table.leases.get(HEALTH_CHECK_TASK) if desk is not None else None
+        """The newest fencing token of the health check task, as far as this node of the quorum knows."""
+        service = self.raft_actor.service if self.raft_actor is not None else None
+        lease = service.table.leases.get(HEALTH_CHECK_TASK) if service is not None else None
         return lease.token if lease is not None else 0
 
-    # Copies
-
-    def _make_manager(self, around: TaskContext) -> FleetTask:
-        from lotusstream.net.shard_control import ShardControllerTask
-
-        assert self._settings.copies is not None
-        self._shard_control_task = ShardControllerTask(
-            around, self._settings.copies, self._send_frame, self._put_note, self._read_lease_table
-        )
-        return self._shard_control_task
+    # Frames to other gateways
 
     def _send_frame(self, name: str, frame: wire.PeerFrame) -> None:
-        if name == self._name:
+        link = self.links.get(name)
+        if name == self.name:
             self._on_frame(frame, name, self._on_reply_frame)
-        elif (link := self.links.get(name)) is not None:
+        elif link is not None:
             link.put(frame)
 
-    async def _read_lease_table(self) -> dict[str, Any] | None:
-        try:
-            return (await self._ask_leader(wire.LeaseTableRequest)).view
-        except ControlRejectedError:
-            return None
-
-    async def _put_note(
-        self, key: str, version: int, value: str, token: int, task: str = SHARD_CONTROL_TASK
-    ) -> str:
-        """Why a note is not agreed on, or ''."""
-        wish = PutNote(task, token, key, version, value)
-        try:
-            told = await self._ask_leader(lambda number: wire.LeaseOperationRequest(number, wish))
-        except ControlRejectedError as error:
-            return str(error)
-        return "" if told.result is not None and told.result.done else (told.result or told).reason
-
-    def _on_quorum_reply(self, told: wire.QuorumReply) -> None:
-        if (waiting := self._pending_replies.pop(told.number, None)) is not None:
-            if not waiting.done():
-                waiting.set_result(told)
-        elif told.number == LEASE_FREED_NUMBER and told.result is not None:
-            self.lease_holder.post(hold.LeaseFreed(told.result.task))
-        else:
-            self.lease_holder.post(hold.LeaseReplyReceived(told.number, told.result, told.leader))
-
     def _send_envelope(self, envelope: RaftEnvelope) -> None:
-        if (link := self.links.get(envelope.recipient)) is not None:
+        link = self.links.get(envelope.recipient)
+        if link is not None:
             link.put(wire.RaftFrame(envelope))
 
-    def _send_operation(self, keeper: str, number: int, wish: Any) -> None:
-        if keeper == self._name and self.raft_actor is not None:
-            self.raft_actor.post(LeaseOperationReceived(self._on_quorum_reply, number, wish))
-        elif (link := self.links.get(keeper)) is not None:
-            link.put(wire.LeaseOperationRequest(number, wish))
+    def _notify_lease_holder(self, event: hold.LeaseHolderEvent) -> None:
+        self.lease_holder.post(event)
 
     async def _agree_on_note(self, key: str, token: int, task: str) -> str:
-        """Why what this gateway brings is not agreed on, or ''."""
+        """Stores the note known here. Returns '' once it is agreed on, or why not."""
         version, value = self.proposed_notes.get(key, (0, ""))
-        return await self._put_note(key, version, value, token, task)
-
-    def propose_note(self, key: str, version: int, value: str) -> None:
-        if self.proposed_notes.get(key) != (version, value):
-            self.proposed_notes[key] = (version, value)
-            self.lease_holder.restart_tasks()
-
-    def replica_status(self) -> dict[str, Any]:
-        """What this gateway holds for others."""
-        if self.copies is None:
-            raise ControlRejectedError(
-                "absent", "this gateway is no holder: the operator file names none of its name"
-            )
-        return self.copies.view()
-
-    async def drain(self, machine: str, undo: bool) -> dict[str, Any]:
-        """Raises ControlRejectedError."""
-        if self._settings.copies is None:
-            raise ControlRejectedError("absent", "the operator file has no 'copies'")
-        if machine not in (known := sorted({each.machine for each in self._settings.replicas})):
-            raise ControlRejectedError(
-                "unknown", f"no machine '{machine}' in the operator file: it has {', '.join(known)}"
-            )
-        if self._shard_control_task is None or not self._shard_control_task.decides:
-            agreed = (await self.quorum())["agreed"] or {"leases": ()}
-            holder = next(
-                (row["holder"] for row in agreed["leases"] if row["task"] == SHARD_CONTROL_TASK), ""
-            )
-            raise ControlRejectedError("busy", f"'{holder or 'nobody'}' decides on copies: ask there")
-        return await self._shard_control_task.drain(machine, undo)
-
-    # For operators
-
-    async def _ask_leader(self, make: Any) -> wire.QuorumReply:
-        """Asks one keeper after the other for the leader's answer. Raises ControlRejectedError."""
-        self._number -= 1  # those of the holder grow
-        order, why = [each.name for each in self._settings.quorum_members], "no keeper answers"
-        for _ in range(len(order) + 2):
-            if not order:
-                break
-            name, number = order.pop(0), self._number
-            waiting: asyncio.Future[wire.QuorumReply] = asyncio.get_running_loop().create_future()
-            self._pending_replies[number] = waiting
-            if name == self._name and self.raft_actor is not None:
-                match make(number):
-                    case wire.LeaseTableRequest():
-                        self.raft_actor.post(LeaseTableReadReceived(self._on_quorum_reply, number))
-                    case wire.MembershipChangeRequest(_, who, add):
-                        self.raft_actor.post(
-                            MembershipChangeReceived(self._on_quorum_reply, number, who, add)
-                        )
-                    case wire.LeaseOperationRequest(_, wish):
-                        self.raft_actor.post(LeaseOperationReceived(self._on_quorum_reply, number, wish))
-            else:
-                self.links[name].put(make(number))
-            try:
-                told = await asyncio.wait_for(waiting, QUORUM_REPLY_TIMEOUT_S / 3)
-            except TimeoutError:
-                self._pending_replies.pop(number, None)
-                continue
-            self._number -= 1
-            if told.done or (told.result is not None):
-                return told
-            why = told.reason or why
-            if told.leader in order:
-                order.remove(told.leader)
-                order.insert(0, told.leader)
-            elif told.leader == name:
-                break
-        raise ControlRejectedError("busy", why)
-
-    def peers(self) -> dict[str, Any]:
-        callers = dict(self._server.connection_counts) if self._server else {}
-        links = {name: link.status for name, link in self.links.items()}
-        return {"name": self._name, "group": self._settings.group, "links": links, "callers": callers}
-
-    async def quorum(self) -> dict[str, Any]:
-        here = self.raft_actor.view() if self.raft_actor else None
-        try:
-            view = (await self._ask_leader(wire.LeaseTableRequest)).view
-            return {"here": here, "agreed": view, "why": ""}
-        except ControlRejectedError as error:
-            return {"here": here, "agreed": None, "why": str(error)}
-
-    async def change_membership(self, name: str, add: bool) -> dict[str, Any]:
-        if add and self._settings.quorum_member(name) is None:
-            known = ", ".join(each.name for each in self._settings.quorum_members)
-            raise ControlRejectedError("unknown", f"no keeper '{name}' in the operator file: it has {known}")
-        await self._ask_leader(lambda number: wire.MembershipChangeRequest(number, name, add))
-        return await self.quorum()
-
-    async def leases(self) -> dict[str, Any]:
-        told = await self.quorum()
-        now = clock.boot_clock()
-        holding = {task: self.lease_holder.holder.may_act(now, task) for task in self.lease_holder.tasks}
-        since = {task: now - at for task, at in self.lease_holder.held_since.items()}
-        return {
-            "name": self._name,
-            "brings": {
-                key: {"version": told[0], "value": told[1]} for key, told in self.proposed_notes.items()
-            },
-            "here": holding,
-            "held_us": since,
-            "agreed": told["agreed"],
-            "why": told["why"],
-            "examined": self.health_reports.view() if self.health_reports is not None else None,
-        }
-
-    async def revoke_lease(self, task: str, heir: str) -> dict[str, Any]:
-        """Takes a lease from whoever has it: released at once if that is this gateway."""
-        found = await self.leases()
-        rows = {row["task"]: row for row in (found["agreed"] or {}).get("leases", [])}
-        if task not in rows or not rows[task]["token"]:
-            raise ControlRejectedError("unknown", f"nobody holds '{task}'")
-        if rows[task]["holder"] == self._name and task in self.lease_holder.tasks:
-            self.lease_holder.post(hold.LeaseUnwanted(task, heir))
-            self.lease_holder.post(hold.LeaseWanted(task))
-        else:
-            wish = RevokeLease(task, rows[task]["token"], heir)
-            told = await self._ask_leader(lambda number: wire.LeaseOperationRequest(number, wish))
-            if told.result is not None and not told.result.done:
-                raise ControlRejectedError("unknown", told.result.reason)
-        return await self.leases()
+        return await self.quorum_client.put_note(PutNote(task, token, key, version, value))
+
+    async def _put_shard_note(self, key: str, version: int, value: str, token: int) -> str:
+        note = PutNote(SHARD_CONTROL_TASK, token, key, version, value)
+        return await self.quorum_client.put_note(note)
+
+
+def _peer_limits(settings: FleetSettings, name: str) -> PeerLimits:
+    return PeerLimits(settings.group, name, settings.peer_timeout_us, settings.max_peer_connections)
+
+
+def _make_links(
+    settings: FleetSettings, name: str, limits: PeerLimits, handle: FrameHandler, supervisor: Supervisor
+) -> dict[str, PeerLink]:
+    """A link to each other node of the quorum and each other replica, by name."""
+    addresses: tuple[QuorumMemberAddress, ...] = (*settings.quorum_members, *settings.replicas)
+    idle_timeout_us = IDLE_LEASES_PER_LINK * settings.lease_timing.duration_us
+    links = {}
+    for peer in addresses:
+        if peer.name != name:
+            address = (peer.host, peer.port)
+            links[peer.name] = PeerLink(peer.name, address, limits, idle_timeout_us, handle, supervisor)
+    return links
+
+
+def _make_raft_actor(
+    settings: FleetSettings,
+    name: str,
+    seed: int,
+    send_envelope: Callable[[RaftEnvelope], None],
+    supervisor: Supervisor,
+) -> RaftActor | None:
+    """The node of the quorum, if this gateway is one. Raises LogError where its log can't be trusted."""
+    if settings.quorum_member(name) is None:
+        return None
+    assert settings.store is not None
+    try:
+        store = open_store(settings.store)
+    except DiskError as error:
+        store = None
+        supervisor.log.write("quorum", f"this keeper stands still: {error}", "error")
+    member_names = tuple(member.name for member in settings.quorum_members)
+    options = RaftActorOptions(
+        name, settings.store, member_names, settings.raft_timing, settings.lease_timing, seed
+    )
+    return RaftActor(options, store, send_envelope, supervisor)
--- /dev/null
+++ b/lotusstream/net/fleet_control.py
@@ -0,0 +1,122 @@
+"""What operators ask and order about the fleet: peers, quorum, leases and the copies held for others.
+
+The keys of the answers are those of `ctl --json`.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from lotusstream.leases import holder as hold
+from lotusstream.leases.table import RevokeLease
+from lotusstream.net import clock
+from lotusstream.net.control import ControlRejectedError
+from lotusstream.operator.fleet import SHARD_CONTROL_TASK
+from lotusstream.protocol import peers as wire
+
+if TYPE_CHECKING:
+    from lotusstream.net.fleet import Fleet
+
+
+class FleetControl:
+    """Answers for one gateway. Its methods raise ControlRejectedError where they can't."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+
+    def peers(self) -> dict[str, Any]:
+        """The connections with other gateways, both ways."""
+        fleet = self._fleet
+        return {
+            "name": fleet.name,
+            "group": fleet.settings.group,
+            "links": {name: link.status for name, link in fleet.links.items()},
+            "callers": dict(fleet.server.connection_counts) if fleet.server else {},
+        }
+
+    async def quorum(self) -> dict[str, Any]:
+        """The quorum as this gateway sees it and as its leader does."""
+        raft_actor = self._fleet.raft_actor
+        here = raft_actor.view() if raft_actor else None
+        try:
+            reply = await self._fleet.quorum_client.ask_leader(wire.LeaseTableRequest)
+            return {"here": here, "agreed": reply.view, "why": ""}
+        except ControlRejectedError as error:
+            return {"here": here, "agreed": None, "why": str(error)}
+
+    async def change_membership(self, name: str, add: bool) -> dict[str, Any]:
+        """Adds a member to the quorum, or removes one."""
+        settings = self._fleet.settings
+        if add and settings.quorum_member(name) is None:
+            known = ", ".join(member.name for member in settings.quorum_members)
+            raise ControlRejectedError("unknown", f"no keeper '{name}' in the operator file: it has {known}")
+        await self._fleet.quorum_client.ask_leader(
+            lambda number: wire.MembershipChangeRequest(number, name, add)
+        )
+        return await self.quorum()
+
+    async def leases(self) -> dict[str, Any]:
+        """The leases as they are agreed on, and those held here."""
+        fleet = self._fleet
+        quorum = await self.quorum()
+        now = clock.boot_clock()
+        holder = fleet.lease_holder
+        notes = fleet.proposed_notes
+        return {
+            "name": fleet.name,
+            "brings": {key: {"version": note[0], "value": note[1]} for key, note in notes.items()},
+            "here": {task: holder.holder.may_act(now, task) for task in holder.tasks},
+            "held_us": {task: now - held_since for task, held_since in holder.held_since.items()},
+            "agreed": quorum["agreed"],
+            "why": quorum["why"],
+            "examined": fleet.health_reports.view() if fleet.health_reports is not None else None,
+        }
+
+    async def revoke_lease(self, task: str, successor: str) -> dict[str, Any]:
+        """Takes a lease from whoever has it; it is released at once if that is this gateway."""
+        fleet = self._fleet
+        agreed = (await self.leases())["agreed"] or {}
+        lease = next((row for row in agreed.get("leases", []) if row["task"] == task), None)
+        if lease is None or not lease["token"]:
+            raise ControlRejectedError("unknown", f"nobody holds '{task}'")
+        if lease["holder"] == fleet.name and task in fleet.lease_holder.tasks:
+            fleet.lease_holder.post(hold.LeaseUnwanted(task, successor))
+            fleet.lease_holder.post(hold.LeaseWanted(task))
+        else:
+            operation = RevokeLease(task, lease["token"], successor)
+            reply = await fleet.quorum_client.ask_leader(
+                lambda number: wire.LeaseOperationRequest(number, operation)
+            )
+            if reply.result is not None and not reply.result.done:
+                raise ControlRejectedError("unknown", reply.result.reason)
+        return await self.leases()
+
+    def replica_status(self) -> dict[str, Any]:
+        """What this gateway holds for others."""
+        if self._fleet.copies is None:
+            raise ControlRejectedError(
+                "absent", "this gateway is no holder: the operator file names none of its name"
+            )
+        return self._fleet.copies.view()
+
+    async def drain(self, machine: str, undo: bool) -> dict[str, Any]:
+        """Moves all copies off a machine, or with `undo` lets it have some again."""
+        settings = self._fleet.settings
+        if settings.copies is None:
+            raise ControlRejectedError("absent", "the operator file has no 'copies'")
+        known = sorted({replica.machine for replica in settings.replicas})
+        if machine not in known:
+            raise ControlRejectedError(
+                "unknown", f"no machine '{machine}' in the operator file: it has {', '.join(known)}"
+            )
+        task = self._fleet.shard_control_task
+        if task is None or not task.decides:
+            holder = await self._shard_controller()
+            raise ControlRejectedError("busy", f"'{holder or 'nobody'}' decides on copies: ask there")
+        return await task.drain(machine, undo)
+
+    async def _shard_controller(self) -> str:
+        """The gateway that decides where copies are held; '' where it is not known."""
+        agreed = (await self.quorum())["agreed"] or {"leases": ()}
+        holders = (row["holder"] for row in agreed["leases"] if row["task"] == SHARD_CONTROL_TASK)
+        return next(holders, "")
--- a/lotusstream/net/operator_service.py
+++ b/lotusstream/net/operator_service.py
@@ -26,6 +26,7 @@
 if TYPE_CHECKING:
     from lotusstream.net.configuration import Configuration
     from lotusstream.net.fleet import Fleet
+    from lotusstream.net.fleet_control import FleetControl
 
 VIEW_TIMEOUT_S = 5.0  # for the decider to answer
 
@@ -212,12 +213,12 @@
 
     # Fleet
 
-    def _fleet(self) -> Fleet:
+    def _fleet(self) -> FleetControl:
         if self._parts.fleet is None:
             raise ControlRejectedError(
                 "absent", "the operator file has no fleet: add one, and start the gateway anew"
             )
-        return self._parts.fleet
+        return self._parts.fleet.control
 
 
 def control_server(
--- /dev/null
+++ b/lotusstream/net/quorum_client.py
@@ -0,0 +1,134 @@
+"""Asks the quorum: finds its leader, and matches replies to requests."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
+
+from lotusstream.leases import holder as hold
+from lotusstream.leases.service import (
+    LEASE_FREED_NUMBER,
+    LeaseOperationReceived,
+    LeaseTableReadReceived,
+    MembershipChangeReceived,
+)
+from lotusstream.leases.table import LeaseOperation, PutNote
+from lotusstream.net.control import ControlRejectedError
+from lotusstream.net.peers import PeerLink
+from lotusstream.net.raft_node import RaftActor
+from lotusstream.protocol import peers as wire
+
+QUORUM_REPLY_TIMEOUT_S = 1.0  # for the answer of one node to an operator's question
+EXTRA_ATTEMPT_COUNT = 2  # beside one for each node: the leader may change meanwhile
+
+QuorumRequest = wire.LeaseOperationRequest | wire.LeaseTableRequest | wire.MembershipChangeRequest
+QuorumEvent = LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived
+MakeRequest = Callable[[int], QuorumRequest]  # with the number of the request
+
+
+def quorum_event(request: QuorumRequest, reply: Callable[[wire.QuorumReply], None]) -> QuorumEvent:
+    """What a request is for the lease service; its reply goes to `reply`."""
+    match request:
+        case wire.LeaseOperationRequest(number, operation):
+            return LeaseOperationReceived(reply, number, operation)
+        case wire.LeaseTableRequest(number):
+            return LeaseTableReadReceived(reply, number)
+        case wire.MembershipChangeRequest(number, name, add):
+            return MembershipChangeReceived(reply, number, name, add)
+
+
+class QuorumClient:
+    """Sends requests to the nodes of the quorum, one of which may be this gateway itself.
+
+    The lease holder's requests have positive numbers, which grow; those of `ask_leader` are negative.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        members: Sequence[str],
+        links: Mapping[str, PeerLink],
+        raft_actor: RaftActor | None,
+        notify_lease_holder: Callable[[hold.LeaseHolderEvent], None],
+    ) -> None:
+        self._name = name
+        self._members = tuple(members)
+        self._links = links
+        self._raft_actor = raft_actor
+        self._notify_lease_holder = notify_lease_holder
+        self._pending_replies: dict[int, asyncio.Future[wire.QuorumReply]] = {}  # by number
+        self._number = 0
+
+    def send_operation(self, recipient: str, number: int, operation: LeaseOperation) -> None:
+        """Sends an operation of the lease holder; it may be lost."""
+        self._send(recipient, wire.LeaseOperationRequest(number, operation))
+
+    def on_reply(self, reply: wire.QuorumReply) -> None:
+        """Hands a reply to whoever waits for it."""
+        waiting = self._pending_replies.pop(reply.number, None)
+        if waiting is not None:
+            if not waiting.done():
+                waiting.set_result(reply)
+        elif reply.number == LEASE_FREED_NUMBER and reply.result is not None:
+            self._notify_lease_holder(hold.LeaseFreed(reply.result.task))
+        else:
+            self._notify_lease_holder(hold.LeaseReplyReceived(reply.number, reply.result, reply.leader))
+
+    async def ask_leader(self, make_request: MakeRequest) -> wire.QuorumReply:
+        """Asks one node after the other until the leader answers. Raises ControlRejectedError."""
+        self._number -= 1
+        remaining = list(self._members)
+        reason = "no keeper answers"
+        for _ in range(len(remaining) + EXTRA_ATTEMPT_COUNT):
+            if not remaining:
+                break
+            member = remaining.pop(0)
+            reply = await self._ask(member, make_request(self._number))
+            if reply is None:
+                continue
+            self._number -= 1
+            if reply.done or reply.result is not None:
+                return reply
+            reason = reply.reason or reason
+            if reply.leader in remaining:
+                remaining.remove(reply.leader)
+                remaining.insert(0, reply.leader)
+            elif reply.leader == member:
+                break
+        raise ControlRejectedError("busy", reason)
+
+    async def read_lease_table(self) -> dict[str, Any] | None:
+        """The table and the members as the leader shows them, or None where it does not answer."""
+        try:
+            return (await self.ask_leader(wire.LeaseTableRequest)).view
+        except ControlRejectedError:
+            return None
+
+    async def put_note(self, note: PutNote) -> str:
+        """Stores a note. Returns '' once it is agreed on, or why not."""
+        try:
+            reply = await self.ask_leader(lambda number: wire.LeaseOperationRequest(number, note))
+        except ControlRejectedError as error:
+            return str(error)
+        if reply.result is None:
+            return reply.reason
+        return "" if reply.result.done else reply.result.reason
+
+    async def _ask(self, member: str, request: QuorumRequest) -> wire.QuorumReply | None:
+        """The member's reply; None where none came in time."""
+        waiting: asyncio.Future[wire.QuorumReply] = asyncio.get_running_loop().create_future()
+        self._pending_replies[request.number] = waiting
+        self._send(member, request)
+        try:
+            return await asyncio.wait_for(waiting, QUORUM_REPLY_TIMEOUT_S)
+        except TimeoutError:
+            self._pending_replies.pop(request.number, None)
+            return None
+
+    def _send(self, recipient: str, request: QuorumRequest) -> None:
+        link = self._links.get(recipient)
+        if recipient == self._name and self._raft_actor is not None:
+            self._raft_actor.post(quorum_event(request, self.on_reply))
+        elif link is not None:
+            link.put(request)
