--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -38,7 +38,7 @@
 def seeds(span: tuple[int, int]) -> tuple[int, list[str]]:
     grants, failed = 0, []
     for seed in range(*span):
-        scene = replace(Scene(), keepers=(3, 4, 5)[seed % 3], tasks=("moves", "examine"))
+        scene = replace(Scene(), quorum_size=(3, 4, 5)[seed % 3], tasks=("moves", "examine"))
         try:
             grants += play(seed, scene).grants
         except Broken as error:
--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -63,7 +63,7 @@
 
     def full(self: virtual.VirtualFleet, node: virtual.HolderNode) -> holder.LeaseHolder:
         made = make(self, node)
-        made._timing = replace(self.scene.terms, safety_margin_us=0)
+        made._timing = replace(self.scene.lease_timing, safety_margin_us=0)
         return made
 
     return mock.patch.object(virtual.VirtualFleet, "_holder", full)
@@ -81,11 +81,11 @@
     """A wiped disk comes back under its old name, as if nothing had happened."""
 
     def wiped(self: virtual.VirtualFleet) -> None:
-        node = self._any_keeper()
-        if not self._whole():
+        node = self._any_quorum_node()
+        if not self._is_complete():
             return
-        assert node.desk is not None
-        keeper = node.desk.node
+        assert node.service is not None
+        keeper = node.service.node
         first = keeper.log.snapshot
         self.down(node)
         node.disk = virtual.VirtualDisk()
@@ -163,13 +163,16 @@
 CROWD = replace(
     SCENE,
     holders=10,
-    terms=LeaseTiming(2_000_000, 200_000, 0.05),
+    lease_timing=LeaseTiming(2_000_000, 200_000, 0.05),
     faults=("stop", "one-way", "cut"),
     fault_every=300_000,
     slow=0.2,
 )
 SNAPPY = replace(
-    SCENE, faults=("crash", "unwant"), fault_every=400_000, pace=replace(SCENE.pace, compaction_entry_count=4)
+    SCENE,
+    faults=("crash", "unwant"),
+    fault_every=400_000,
+    raft_timing=replace(SCENE.raft_timing, compaction_entry_count=4),
 )
 PLANTED = (
     Planted(
@@ -179,10 +182,10 @@
     ),
     Planted("time counted from the reply", _from_the_reply, CROWD),
     Planted("no margin", _no_margin, replace(CROWD, faults=("cut",), fault_every=1_500_000)),
-    Planted("half is a majority", _half_is_enough, replace(HARD, keepers=4)),
+    Planted("half is a majority", _half_is_enough, replace(HARD, quorum_size=4)),
     Planted("a wiped disk votes", _wiped_disk_votes, replace(SCENE, faults=("wipe", "one-way", "cut"))),
     Planted("an older copy of a disk votes", _older_copy_votes, replace(SCENE, faults=("rollback", "cut"))),
-    Planted("a read without asking", _stale_read, replace(CROWD, look_every=50_000)),
+    Planted("a read without asking", _stale_read, replace(CROWD, read_interval=50_000)),
     Planted("a snapshot forgets tokens", _forgotten_token, SNAPPY),
     Planted("a renewed lease runs out", _renewals_unseen),
     Planted("a vote without a look at the log", _no_log_check, HARD),
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -1,8 +1,9 @@
-"""Every order of events in a small scope: three keepers, so many time-outs, proposals, crashes, losses.
+"""Every order of events in a small scope: three Raft nodes with a few time-outs, proposals, crashes, losses.
 
-States that were seen are not gone through again, so the search ends. At each it is looked at that a term has
-one leader and that all apply the same. Hellos are left out: they tell older disks, and there is none here.
-Lines keep their order, as connections do; a loss takes all that is on one. The seeds play words out of order.
+States that were seen are not explored again, so the search ends. After each step a term must have one
+leader and all nodes must apply the same. Join requests are left out: they detect older copies of a disk, and
+there is none here. Each connection keeps its order, as TCP does; a loss takes all that is on one. The seeded
+runs deliver messages out of order.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from lotusstream.quorum.state import Role
 from lotusstream.quorum.timing import RaftTiming
 
-PACE = RaftTiming(100, 1000)
+RAFT_TIMING = RaftTiming(100, 1000)
 NAMES = ("a", "b", "c")
 
 
@@ -40,141 +41,141 @@
 
 @dataclass(slots=True)
 class World:
-    keepers: list[RaftNode]
+    nodes: list[RaftNode]
     disks: list[list[ms.RaftRecord]]
     nows: list[int]
-    flying: list[bytes]
-    left: Scope
+    in_flight: list[bytes]
+    remaining: Scope
     applied: dict[int, bytes]
     leaders: dict[int, str]
     trail: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     states: int
-    whole: bool
-    broken: str | None = None
+    is_complete: bool
+    violation: str | None = None
 
 
-def begun(scope: Scope) -> World:
+def initial_world(scope: Scope) -> World:
     members = tuple(ms.Member(name, f"d{name}") for name in NAMES)
     disks: list[list[ms.RaftRecord]] = [
         [ms.IncarnationRecord(f"d{name}"), ms.SnapshotRecord(ms.Snapshot(0, 0, "g", members))]
         for name in NAMES
     ]
-    keepers = [_begun(name, disk) for name, disk in zip(NAMES, disks, strict=True)]
-    return World(keepers, disks, [0, 0, 0], [], scope, {}, {})
+    nodes = [_start_node(name, disk) for name, disk in zip(NAMES, disks, strict=True)]
+    return World(nodes, disks, [0, 0, 0], [], scope, {}, {})
 
 
-def _begun(name: str, disk: list[ms.RaftRecord]) -> RaftNode:
-    keeper = RaftNode(name, PersistedState(disk), "", NAMES, PACE, 1, 0)
-    keeper.state.is_verified = True  # that its disk is no older copy is not what is looked at here
-    return keeper
+def _start_node(name: str, disk: list[ms.RaftRecord]) -> RaftNode:
+    node = RaftNode(name, PersistedState(disk), "", NAMES, RAFT_TIMING, 1, 0)
+    node.state.is_verified = True  # that its disk is no older copy is not what is looked at here
+    return node
 
 
 class Search:
     def __init__(self, scope: Scope) -> None:
         self._scope = scope
 
-    def run(self) -> Found:
-        first = begun(self._scope)
-        seen, todo = {self._print(first)}, deque([pickle.dumps(first)])
+    def run(self) -> SearchResult:
+        first = initial_world(self._scope)
+        seen, todo = {self._fingerprint(first)}, deque([pickle.dumps(first)])
         while todo:
             frozen = todo.popleft()
             for step in self._steps(pickle.loads(frozen)):
                 world: World = pickle.loads(frozen)
                 try:
-                    self._take(world, step)
+                    self._apply_step(world, step)
                 except Broken as error:
-                    return Found(len(seen), False, f"{error}; after {', '.join(world.trail)}")
-                mark = self._print(world)
+                    return SearchResult(len(seen), False, f"{error}; after {', '.join(world.trail)}")
+                mark = self._fingerprint(world)
                 if mark in seen:
                     continue
                 if len(seen) >= self._scope.states:
-                    return Found(len(seen), False)
+                    return SearchResult(len(seen), False)
                 seen.add(mark)
                 todo.append(pickle.dumps(world))
-        return Found(len(seen), True)
+        return SearchResult(len(seen), True)
 
     def _steps(self, world: World) -> Iterator[tuple[str, int]]:
-        left, lines = world.left, set[tuple[str, str]]()
-        for at, word in enumerate(world.flying):
-            line = _line(word)
+        left, lines = world.remaining, set[tuple[str, str]]()
+        for at, word in enumerate(world.in_flight):
+            line = _connection_of(word)
             if line not in lines:
                 lines.add(line)
                 yield "deliver", at
                 if left.losses:
                     yield "lose", at
-        for at, keeper in enumerate(world.keepers):
-            if left.timeouts and keeper.role != Role.LEADER:
+        for at, node in enumerate(world.nodes):
+            if left.timeouts and node.role != Role.LEADER:
                 yield "time-out", at
-            if left.proposals and keeper.role == Role.LEADER:
+            if left.proposals and node.role == Role.LEADER:
                 yield "propose", at
             if left.crashes:
                 yield "crash", at
                 yield "crash-unsaved", at
 
-    def _take(self, world: World, step: tuple[str, int]) -> None:
+    def _apply_step(self, world: World, step: tuple[str, int]) -> None:
         kind, at = step
         world.trail = (*world.trail, f"{kind} {at}")
         match kind:
             case "deliver":
-                envelope = _ENVELOPES.decode(world.flying.pop(at))
-                self._tell(world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope))
+                envelope = _ENVELOPES.decode(world.in_flight.pop(at))
+                self._handle_event(world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope))
             case "lose":
-                world.left = replace(world.left, losses=world.left.losses - 1)
-                lost = _line(world.flying[at])
-                world.flying = [word for word in world.flying if _line(word) != lost]
+                world.remaining = replace(world.remaining, losses=world.remaining.losses - 1)
+                lost = _connection_of(world.in_flight[at])
+                world.in_flight = [word for word in world.in_flight if _connection_of(word) != lost]
             case "time-out":
-                world.left = replace(world.left, timeouts=world.left.timeouts - 1)
-                world.nows[at] += 10 * PACE.election_timeout_us
-                self._tell(world, at, ev.RaftTimeAdvanced())
+                world.remaining = replace(world.remaining, timeouts=world.remaining.timeouts - 1)
+                world.nows[at] += 10 * RAFT_TIMING.election_timeout_us
+                self._handle_event(world, at, ev.RaftTimeAdvanced())
             case "propose":
-                world.left = replace(world.left, proposals=world.left.proposals - 1)
-                self._tell(world, at, ev.ProposalSubmitted(1, b"x"))
+                world.remaining = replace(world.remaining, proposals=world.remaining.proposals - 1)
+                self._handle_event(world, at, ev.ProposalSubmitted(1, b"x"))
             case _:
-                world.left = replace(world.left, crashes=world.left.crashes - 1)
-                if kind == "crash-unsaved" and world.flying:
+                world.remaining = replace(world.remaining, crashes=world.remaining.crashes - 1)
+                if kind == "crash-unsaved" and world.in_flight:
                     # as if it had ended before the sync of its next word: that word was never said
-                    envelope = _ENVELOPES.decode(world.flying[-1])
-                    self._tell(
+                    envelope = _ENVELOPES.decode(world.in_flight[-1])
+                    self._handle_event(
                         world, NAMES.index(envelope.recipient), ev.MessageReceived(envelope), saves=False
                     )
                 world.nows[at] = 0
-                world.keepers[at] = _begun(NAMES[at], world.disks[at])
+                world.nodes[at] = _start_node(NAMES[at], world.disks[at])
 
-    def _tell(self, world: World, at: int, event: ev.RaftEvent, saves: bool = True) -> None:
-        keeper = world.keepers[at]
-        todo: deque[Any] = deque(keeper.handle(world.nows[at], event))
+    def _handle_event(self, world: World, at: int, event: ev.RaftEvent, saves: bool = True) -> None:
+        node = world.nodes[at]
+        todo: deque[Any] = deque(node.handle(world.nows[at], event))
         while todo:
             match todo.popleft():
                 case ev.PersistRecords(number, records, rewrite):
                     if not saves:
-                        world.keepers[at] = _begun(NAMES[at], world.disks[at])
+                        world.nodes[at] = _start_node(NAMES[at], world.disks[at])
                         return
                     world.disks[at] = [*([] if rewrite else world.disks[at]), *records]
-                    todo += keeper.handle(world.nows[at], ev.RecordsPersisted(number))
+                    todo += node.handle(world.nows[at], ev.RecordsPersisted(number))
                 case ev.SendMessage(envelope) if not isinstance(
                     envelope.message, ms.JoinRequest | ms.JoinReply
                 ):
                     word = msgspec.msgpack.encode(envelope)
-                    if word not in world.flying:
-                        world.flying.append(word)
+                    if word not in world.in_flight:
+                        world.in_flight.append(word)
                 case ev.ApplyEntry(index, kind, data, _):
                     told = bytes([kind]) + data
                     if world.applied.setdefault(index, told) != told:
-                        raise Broken(f"{keeper.name} applied something else at {index}")
-        if keeper.role == Role.LEADER and world.leaders.setdefault(keeper.term, keeper.name) != keeper.name:
-            raise Broken(f"term {keeper.term} has two leaders")
+                        raise Broken(f"{node.name} applied something else at {index}")
+        if node.role == Role.LEADER and world.leaders.setdefault(node.term, node.name) != node.name:
+            raise Broken(f"term {node.term} has two leaders")
 
     @staticmethod
-    def _print(world: World) -> bytes:
+    def _fingerprint(world: World) -> bytes:
         """What tells one state from another; the way there does not."""
-        keepers = [_fingerprint(each, now) for each, now in zip(world.keepers, world.nows, strict=True)]
-        left = world.left
+        nodes = [_fingerprint(each, now) for each, now in zip(world.nodes, world.nows, strict=True)]
+        left = world.remaining
         bounds = (left.timeouts, left.proposals, left.crashes, left.losses)
-        return msgspec.msgpack.encode((keepers, sorted(world.flying, key=_line), bounds))
+        return msgspec.msgpack.encode((nodes, sorted(world.in_flight, key=_connection_of), bounds))
 
 
 def _fingerprint(node: RaftNode, now: int) -> tuple[Any, ...]:
@@ -207,6 +208,6 @@
 _ENVELOPES: msgspec.msgpack.Decoder[ms.RaftEnvelope] = msgspec.msgpack.Decoder(ms.RaftEnvelope)
 
 
-def _line(word: bytes) -> tuple[str, str]:
+def _connection_of(word: bytes) -> tuple[str, str]:
     envelope = _ENVELOPES.decode(word)
     return envelope.sender, envelope.recipient
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -1,4 +1,4 @@
-"""A fleet of keepers and holders on a virtual clock, network and disk, with faults drawn from one seed.
+"""A quorum and its lease holders on a virtual clock, network and disk, with faults drawn from one seed.
 
 All that can differ between two runs is drawn from `random.Random(seed)`: a failing seed fails again in the
 same way. After every step the judge looks at what must hold.
@@ -30,19 +30,19 @@
 from lotusstream.quorum.state import Role
 from lotusstream.quorum.timing import RaftTiming
 
-PACE = RaftTiming(100 * MS, 400 * MS, max_batch_bytes=300, compaction_entry_count=25)
-TERMS = LeaseTiming(2 * S, 250 * MS, 0.05)
+RAFT_TIMING = RaftTiming(100 * MS, 400 * MS, max_batch_bytes=300, compaction_entry_count=25)
+LEASE_TIMING = LeaseTiming(2 * S, 250 * MS, 0.05)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scene(Span):
     """What a run is made of. Times in microseconds."""
 
-    keepers: int = 3
+    quorum_size: int = 3
     holders: int = 3
     tasks: tuple[str, ...] = ("moves",)
-    pace: RaftTiming = PACE
-    terms: LeaseTiming = TERMS
+    raft_timing: RaftTiming = RAFT_TIMING
+    lease_timing: LeaseTiming = LEASE_TIMING
     faults: tuple[str, ...] = (
         "crash",
         "cut",
@@ -54,9 +54,9 @@
         "leave",
         "unwant",
     )
-    together: float = 0.1  # the share of crashes that take all keepers at once
+    together: float = 0.1  # the share of crashes that take the whole quorum at once
     sync: int = 5 * MS  # the longest time of a sync
-    look_every: int = 400 * MS
+    read_interval: int = 400 * MS
 
 
 @dataclass(slots=True)
@@ -85,11 +85,11 @@
         self.writing.clear()
 
 
-class KeeperNode(Node):
+class QuorumNode(Node):
     def __init__(self, name: str, draw: random.Random, drift: float) -> None:
         super().__init__(name, draw, drift)
         self.disk = VirtualDisk()
-        self.desk: LeaseService | None = None
+        self.service: LeaseService | None = None
         self.applied: dict[int, Any] = {}
         self.wiped = False
         self.slow_disk = 0
@@ -153,123 +153,129 @@
     def __init__(self, seed: int, scene: Scene) -> None:
         super().__init__(seed, scene)
         self.scene, self.judge = scene, Judge(seed)
-        drift = scene.terms.max_clock_drift_ratio
-        self.keepers = {f"k{i}": KeeperNode(f"k{i}", self.draw, drift) for i in range(scene.keepers)}
+        drift = scene.lease_timing.max_clock_drift_ratio
+        self.quorum_nodes = {f"k{i}": QuorumNode(f"k{i}", self.draw, drift) for i in range(scene.quorum_size)}
         self.holders = {f"g{i}": HolderNode(f"g{i}", self.draw, drift) for i in range(scene.holders)}
-        self._fresh = 0
+        self._incarnation_count = 0
         for holder in self.holders.values():
             holder.holder = self._holder(holder)
-        for keeper in self.keepers.values():
-            self._begin_keeper(keeper)
+        for keeper in self.quorum_nodes.values():
+            self._start_quorum_node(keeper)
         for holder in self.holders.values():
-            self._begin_holder(holder)
+            self._start_holder(holder)
 
     # The run
 
     def run(self) -> Judge:
-        self.at(self.scene.look_every, self._read)
+        self.at(self.scene.read_interval, self._read)
         self.play()
-        self._alive()
+        self._check_liveness()
         return self.judge
 
     def nodes(self) -> list[Node]:
-        return [*self.keepers.values(), *self.holders.values()]
+        return [*self.quorum_nodes.values(), *self.holders.values()]
 
     # Keepers
 
-    def _begin_keeper(self, node: KeeperNode) -> None:
+    def _start_quorum_node(self, node: QuorumNode) -> None:
         node.up, node.stopped, node.run = True, False, node.run + 1
         node.waiting.clear()
-        self._fresh += 1
+        self._incarnation_count += 1
         disk = PersistedState(node.disk.synced)
         keeper = RaftNode(
             node.name,
             disk,
-            f"d{self._fresh}",
-            list(self.keepers),
-            self.scene.pace,
+            f"d{self._incarnation_count}",
+            list(self.quorum_nodes),
+            self.scene.raft_timing,
             self.seed * 1000 + node.run,
             node.clock(self.now),
         )
-        node.desk = LeaseService(keeper, self.scene.terms)
-        self._tell_keeper(node, ev.RaftTimeAdvanced())
+        node.service = LeaseService(keeper, self.scene.lease_timing)
+        self._handle_quorum_event(node, ev.RaftTimeAdvanced())
 
-    def _tell_keeper(self, node: KeeperNode, event: Any) -> None:
-        assert node.desk is not None
-        for action in node.desk.handle(node.clock(self.now), event):
+    def _handle_quorum_event(self, node: QuorumNode, event: Any) -> None:
+        assert node.service is not None
+        for action in node.service.handle(node.clock(self.now), event):
             self._carry_out(node, action)
-        if node.desk.node.role == Role.LEADER:
-            self.judge.leads(node.desk.node.term, node.desk.node.incarnation)
-        for index in range(max(1, node.desk.node.applied_index - 3), node.desk.node.applied_index + 1):
-            if index > node.desk.node.log.snapshot.index:
-                entry = node.desk.node.log.entry_at(index)
+        if node.service.node.role == Role.LEADER:
+            self.judge.leads(node.service.node.term, node.service.node.incarnation)
+        for index in range(max(1, node.service.node.applied_index - 3), node.service.node.applied_index + 1):
+            if index > node.service.node.log.snapshot.index:
+                entry = node.service.node.log.entry_at(index)
                 self.judge.applied(node.name, index, (entry.term, entry.kind), entry.data)
-        self._wake(node, node.desk.next_timer_at, lambda: self._tell_keeper(node, ev.RaftTimeAdvanced()))
+        self._wake(
+            node, node.service.next_timer_at, lambda: self._handle_quorum_event(node, ev.RaftTimeAdvanced())
+        )
 
-    def _carry_out(self, node: KeeperNode, action: Any) -> None:
+    def _carry_out(self, node: QuorumNode, action: Any) -> None:
         match action:
             case ev.PersistRecords():
                 node.disk.writing.append(action)
                 span = self.draw.randint(1 * MS, self.scene.sync) + node.slow_disk
                 self.after(span, self._on(node, lambda: self._synced(node, action)))
             case ev.SendMessage(envelope):
-                target = self.keepers[envelope.recipient]
-                self._deliver(node, target, lambda: self._tell_keeper(target, ev.MessageReceived(envelope)))
+                target = self.quorum_nodes[envelope.recipient]
+                self._deliver(
+                    node, target, lambda: self._handle_quorum_event(target, ev.MessageReceived(envelope))
+                )
             case LeaseServiceReply(caller, _, _, _, _, done) if isinstance(caller, int):
                 if done:
-                    self.judge.read(node.name, caller, node.desk.table.newest_token if node.desk else 0)
+                    self.judge.read(node.name, caller, node.service.table.newest_token if node.service else 0)
             case LeaseServiceReply(caller, number, granted, leader):
                 holder = self.holders[str(caller)]
                 event: hold.LeaseHolderEvent = hold.LeaseReplyReceived(number, granted, leader)
                 if number == LEASE_FREED_NUMBER and granted is not None:
                     event = hold.LeaseFreed(granted.task)
-                self._deliver(node, holder, lambda: self._tell_holder(holder, event))
+                self._deliver(node, holder, lambda: self._handle_holder_event(holder, event))
             case LeaseHolderChanged(index, granted):
                 self.judge.passed(node.name, index, granted)
 
-    def _synced(self, node: KeeperNode, save: ev.PersistRecords) -> None:
+    def _synced(self, node: QuorumNode, save: ev.PersistRecords) -> None:
         """Group commit: all that was asked for before is on the disk as well."""
         while save in node.disk.writing:
             node.disk.sync(node.disk.writing[0])
         node.disk.changed = self.now
-        self._tell_keeper(node, ev.RecordsPersisted(save.number))
+        self._handle_quorum_event(node, ev.RecordsPersisted(save.number))
 
     def _read(self) -> None:
         """From whoever takes itself for the leader, and it must know all that was granted before."""
-        for node in self.keepers.values():
-            leads = node.desk is not None and node.desk.node.role == Role.LEADER
+        for node in self.quorum_nodes.values():
+            leads = node.service is not None and node.service.node.role == Role.LEADER
             if leads and node.up and not node.stopped:
-                self._tell_keeper(node, LeaseTableReadReceived(self.judge.newest, 0))
-        self.after(self.scene.look_every, self._read)
+                self._handle_quorum_event(node, LeaseTableReadReceived(self.judge.newest, 0))
+        self.after(self.scene.read_interval, self._read)
 
     # Holders
 
-    def _begin_holder(self, node: HolderNode) -> None:
+    def _start_holder(self, node: HolderNode) -> None:
         node.up, node.stopped, node.run = True, False, node.run + 1
         node.waiting.clear()
         node.holder = self._holder(node)
         for task in self.scene.tasks:
-            self._tell_holder(node, hold.LeaseWanted(task))
+            self._handle_holder_event(node, hold.LeaseWanted(task))
 
     def _holder(self, node: HolderNode) -> hold.LeaseHolder:
-        session, keepers = f"{node.name}-{node.run}", list(self.keepers)
-        return hold.LeaseHolder(node.name, session, keepers, self.scene.terms, self.seed + node.run)
+        session, members = f"{node.name}-{node.run}", list(self.quorum_nodes)
+        return hold.LeaseHolder(node.name, session, members, self.scene.lease_timing, self.seed + node.run)
 
-    def _tell_holder(self, node: HolderNode, event: Any) -> None:
+    def _handle_holder_event(self, node: HolderNode, event: Any) -> None:
         for action in node.holder.handle(node.clock(self.now), event):
             if isinstance(action, hold.SendLeaseOperation):
                 target, asked = (
-                    self.keepers[action.recipient],
+                    self.quorum_nodes[action.recipient],
                     LeaseOperationReceived(node.name, action.number, action.operation),
                 )
                 self._deliver(node, target, self._asking(target, asked))
-        self._look()
-        self._wake(node, node.holder.next_timer_at, lambda: self._tell_holder(node, hold.LeaseTimeAdvanced()))
+        self._check_acting()
+        self._wake(
+            node, node.holder.next_timer_at, lambda: self._handle_holder_event(node, hold.LeaseTimeAdvanced())
+        )
 
-    def _asking(self, target: KeeperNode, asked: LeaseOperationReceived) -> Callable[[], None]:
-        return lambda: self._tell_keeper(target, asked)
+    def _asking(self, target: QuorumNode, asked: LeaseOperationReceived) -> Callable[[], None]:
+        return lambda: self._handle_quorum_event(target, asked)
 
-    def _look(self) -> None:
+    def _check_acting(self) -> None:
         """Whoever could act at this moment; one that is stopped has looked before it was."""
         for task in self.scene.tasks:
             acting = []
@@ -282,11 +288,11 @@
 
     # Faults
 
-    def _any_keeper(self) -> KeeperNode:
-        return self.draw.choice(list(self.keepers.values()))
+    def _any_quorum_node(self) -> QuorumNode:
+        return self.draw.choice(list(self.quorum_nodes.values()))
 
     def down(self, node: Node) -> None:
-        if node.up and isinstance(node, KeeperNode):
+        if node.up and isinstance(node, QuorumNode):
             node.disk.crash(self.draw)
         super().down(node)
 
@@ -295,14 +301,14 @@
         self.back(node, S)
 
     def again(self, node: Node) -> None:
-        if isinstance(node, KeeperNode):
-            self._begin_keeper(node)
+        if isinstance(node, QuorumNode):
+            self._start_quorum_node(node)
         elif isinstance(node, HolderNode):
-            self._begin_holder(node)
+            self._start_holder(node)
 
     def _fault_crash(self) -> None:
         nodes: list[Node] = (
-            list(self.keepers.values()) if self.draw.random() < self.scene.together else [self._any()]
+            list(self.quorum_nodes.values()) if self.draw.random() < self.scene.together else [self._any()]
         )
         for node in nodes:
             self.down(node)
@@ -310,9 +316,9 @@
 
     def _fault_wipe(self) -> None:
         """One disk at a time, and the next one only once its group is whole again."""
-        if not self._whole():
+        if not self._is_complete():
             return
-        node = self._any_keeper()
+        node = self._any_quorum_node()
         self.down(node)
         node.disk = VirtualDisk()
         self.back(node, S)
@@ -320,65 +326,67 @@
     def _fault_rollback(self) -> None:
         """To an older copy; all others are there when it comes back, and stay for a while, and what it
         held was told: a leader tells with its next heartbeat what is on its own disk."""
-        if not self._whole() or self.cuts:
+        if not self._is_complete() or self.cuts:
             return
-        node = self._any_keeper()
+        node = self._any_quorum_node()
         older = list(node.disk.synced)
 
         def roll() -> None:
-            if not self._whole() or self.cuts or not node.up or node.disk.synced[: len(older)] != older:
+            if not self._is_complete() or self.cuts or not node.up or node.disk.synced[: len(older)] != older:
                 return
-            if self.now - node.disk.changed < 3 * self.scene.pace.heartbeat_us:
+            if self.now - node.disk.changed < 3 * self.scene.raft_timing.heartbeat_us:
                 return
             self.down(node)
             node.disk.synced = older
-            self._calm_until = self.now + 2 * self.scene.pace.election_timeout_us
+            self._calm_until = self.now + 2 * self.scene.raft_timing.election_timeout_us
             self.again(node)
 
         self.after(self.draw.randint(0, S), roll)
 
-    def _whole(self) -> bool:
+    def _is_complete(self) -> bool:
         """Every keeper is up, and a voter that has what the others agreed on."""
-        desks = [node.desk for node in self.keepers.values() if node.up and not node.stopped]
-        if len(desks) < len(self.keepers):
+        services = [node.service for node in self.quorum_nodes.values() if node.up and not node.stopped]
+        if len(services) < len(self.quorum_nodes):
             return False
-        keepers = [desk.node for desk in desks if desk is not None]
-        commit = max(keeper.commit_index for keeper in keepers)
-        disks = {keeper.incarnation for keeper in keepers}
+        nodes = [service.node for service in services if service is not None]
+        commit = max(node.commit_index for node in nodes)
+        disks = {node.incarnation for node in nodes}
         return all(
-            {member.incarnation for member in keeper.members if member.is_voter} == disks
-            and keeper.commit_index >= commit - 1
-            for keeper in keepers
+            {member.incarnation for member in node.members if member.is_voter} == disks
+            and node.commit_index >= commit - 1
+            for node in nodes
         )
 
     def _fault_disk(self) -> None:
-        node = self._any_keeper()
+        node = self._any_quorum_node()
         node.slow_disk = self.draw.choice((0, 50 * MS, 400 * MS))
         self.after(self.draw.randint(0, 3 * S), lambda: setattr(node, "slow_disk", 0))
 
     def _fault_leave(self) -> None:
-        node = self._any_keeper()
+        node = self._any_quorum_node()
         if node.up and not node.stopped:
-            self._tell_keeper(node, ev.ShutdownRequested())
+            self._handle_quorum_event(node, ev.ShutdownRequested())
             self.after(300 * MS, self._on(node, lambda: self._restart(node)))
 
     def _fault_unwant(self) -> None:
         node, task = self.draw.choice(list(self.holders.values())), self.draw.choice(self.scene.tasks)
         if node.up and not node.stopped:
             heir = self.draw.choice(["", *self.holders])
-            self._tell_holder(node, hold.LeaseUnwanted(task, heir))
-            self.after(S, self._on(node, lambda: self._tell_holder(node, hold.LeaseWanted(task))))
+            self._handle_holder_event(node, hold.LeaseUnwanted(task, heir))
+            self.after(S, self._on(node, lambda: self._handle_holder_event(node, hold.LeaseWanted(task))))
 
     def _heal(self) -> None:
-        for node in self.keepers.values():
+        for node in self.quorum_nodes.values():
             node.slow_disk = 0
         super()._heal()
 
-    def _alive(self) -> None:
+    def _check_liveness(self) -> None:
         """Once faults have ended: one leader, whole, and somebody acts for every task."""
-        if not any(node.desk and node.desk.node.role == Role.LEADER for node in self.keepers.values()):
+        if not any(
+            node.service and node.service.node.role == Role.LEADER for node in self.quorum_nodes.values()
+        ):
             self.judge.fails("no leader though all faults have ended")
-        if not self._whole():
+        if not self._is_complete():
             self.judge.fails("a keeper has not caught up though all faults have ended")
         for task in self.scene.tasks:
             nodes = self.holders.values()
--- a/tests/quorum/test_seeds.py
+++ b/tests/quorum/test_seeds.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("first", range(0, 8 * SPAN, SPAN))
 def test_no_two_act_and_nothing_agreed_is_lost(first):
     for seed in range(first, first + SPAN):
-        play(seed, replace(Scene(), keepers=(3, 4, 5)[seed % 3], tasks=("moves", "examine")))
+        play(seed, replace(Scene(), quorum_size=(3, 4, 5)[seed % 3], tasks=("moves", "examine")))
 
 
 @pytest.mark.parametrize("planted", PLANTED, ids=lambda each: each.name)
@@ -33,10 +33,10 @@
 @pytest.mark.parametrize("scope", [Scope3(1, 1, 1, 0), Scope3(1, 1, 0, 1)], ids=["a crash", "a lost line"])
 def test_every_order_of_a_small_scope(scope):
     found = Search(scope).run()
-    assert found.broken is None
-    assert found.whole
+    assert found.violation is None
+    assert found.is_complete
 
 
 def test_the_search_sees_a_quorum_of_half():
     with mock.patch.object(RaftState, "is_majority", lambda self, incarnations: True):
-        assert Search(Scope3(2, 0, 0, 0)).run().broken
+        assert Search(Scope3(2, 0, 0, 0)).run().violation
