--- a/lotusstream/net/peers.py
+++ b/lotusstream/net/peers.py
@@ -1,5 +1,8 @@
-"""TCP between gateways: frames both ways, everything bounded. A peer that is slow, silent or talks nonsense
-loses its connection and harms nobody: what is told here may always be lost, and is told again."""
+"""TCP between gateways: frames both ways, every queue bounded.
+
+A peer that is slow, silent or sends nonsense loses its connection and harms nobody else. Any frame may be
+lost; whoever needs an answer sends again.
+"""
 
 from __future__ import annotations
 
@@ -15,47 +18,57 @@
 from lotusstream.net.connection import US, Address
 from lotusstream.protocol import peers as wire
 
-MAX_QUEUED_FRAMES_COUNT = 512  # frames that wait for one peer; what comes on top of them is lost
+MAX_QUEUED_FRAMES_COUNT = 512  # that wait for one peer; further ones are lost
 MAX_QUEUED_BYTES = 4 << 20
-BACKOFF_RANGE_S = (0.05, 2.0)  # seconds between two tries to connect, at first and at most
+BACKOFF_RANGE_S = (0.05, 2.0)  # between two attempts to connect, at first and at most
+MAX_BACKOFF_DOUBLING_COUNT = 10
+MAX_UNSENT_FRAMES_COUNT = 16  # that wait for a connection; the oldest are lost first
+READ_BUFFER_BYTES = 4096
+LIVENESS_CHECKS_PER_TIMEOUT = 3
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLimits:
-    """`patience`: microseconds in which a peer takes what is sent, and answers a ping. `callers`: connections
-    that are taken at once."""
+    """Who this gateway is to its peers, and what it bears from them."""
 
-    group: str
-    name: str
-    timeout_us: int
-    max_connections: int
+    group: str  # the fleet's name
+    name: str  # of this gateway
+    timeout_us: int  # in which a peer takes what is sent, and answers a ping
+    max_connections: int  # from other gateways, at once
 
 
 ReplyCallback = Callable[[wire.PeerFrame], None]
-FrameHandler = Callable[[wire.PeerFrame, str, ReplyCallback], None]  # the frame, who sent it, how to answer
+FrameHandler = Callable[[wire.PeerFrame, str, ReplyCallback], None]  # the frame, its sender, how to reply
 
 
 class PeerConnection:
-    """One connection with its queue: both directions, until either breaks."""
+    """One connection with its send queue: both directions, until either breaks."""
 
-    def __init__(self, sock: socket.socket, manners: PeerLimits) -> None:
+    def __init__(self, sock: socket.socket, limits: PeerLimits) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._sock, self._limits = sock, manners
+        self._sock = sock
+        self._limits = limits
         self._queue: deque[bytes] = deque()
-        self._queued_bytes, self._queue_filled = 0, asyncio.Event()
-        self._buffer = Buffer(4096, wire.MAX_FRAME_BYTES + wire.LENGTH_PREFIX.size)
+        self._queued_bytes = 0
+        self._queue_filled = asyncio.Event()
+        self._buffer = Buffer(READ_BUFFER_BYTES, wire.MAX_FRAME_BYTES + wire.LENGTH_PREFIX.size)
+        self._peer_frame_version = 1  # until its greeting says more
         self.lost_frame_count = 0
-        self._peer_frame_version = 1  # until the other side has said more
-        self.write_count = self.received_frame_count = 0  # writes, and frames that came
+        self.write_count = 0
+        self.received_frame_count = 0
 
     def put(self, frame: wire.PeerFrame) -> bool:
-        """False where the queue is full: the frame is lost. What the other side does not understand, or has
-        not said yet to understand, is left out: it would break the line."""
+        """Queues a frame. Returns False where the queue is full and the frame is lost.
+
+        A frame that the peer does not understand, as far as its greeting has come, is left out: it would
+        break the connection.
+        """
         if wire.required_frame_version(frame) > self._peer_frame_version:
             return True
         data = wire.encode(frame)
-        if len(self._queue) >= MAX_QUEUED_FRAMES_COUNT or self._queued_bytes + len(data) > MAX_QUEUED_BYTES:
+        is_full = len(self._queue) >= MAX_QUEUED_FRAMES_COUNT
+        if is_full or self._queued_bytes + len(data) > MAX_QUEUED_BYTES:
             self.lost_frame_count += 1
             return False
         self._queue.append(data)
@@ -64,7 +77,7 @@
         return True
 
     async def write(self) -> None:
-        """Until the peer is too slow (TimeoutError) or the connection breaks (OSError)."""
+        """Sends what is queued. Raises TimeoutError when the peer is too slow, OSError when it is gone."""
         loop = asyncio.get_running_loop()
         while True:
             await self._queue_filled.wait()
@@ -78,9 +91,13 @@
                     await loop.sock_sendall(self._sock, data)
 
     async def read(self) -> wire.PeerFrame | None:
-        """The next frame, or None at the end. Raises BrokenPeer, OSError."""
+        """The next frame, or None at the end of the connection.
+
+        :raises PeerProtocolError: where the peer sends what is no frame
+        :raises OSError: where the connection breaks
+        """
         loop = asyncio.get_running_loop()
-        while (found := wire.decode_first(self._buffer.data())) is None:
+        while (decoded := wire.decode_first(self._buffer.data())) is None:
             try:
                 count = await loop.sock_recv_into(self._sock, self._buffer.space())
             except BufferFullError as error:
@@ -88,65 +105,69 @@
             if not count:
                 return None
             self._buffer.filled(count)
-        frame, used = found
+        frame, used = decoded
         self._buffer.use(used)
         self.received_frame_count += 1
         return frame
 
     async def read_greeting(self) -> wire.Greeting:
-        """Raises BrokenPeer, TimeoutError, OSError."""
+        """The peer's greeting. Raises PeerProtocolError, TimeoutError, OSError."""
         async with asyncio.timeout(self._limits.timeout_us / US):
-            first = await self.read()
-        if not isinstance(first, wire.Greeting):
+            greeting = await self.read()
+        if not isinstance(greeting, wire.Greeting):
             raise wire.PeerProtocolError("the first frame is no greeting")
-        if first.version != wire.PROTOCOL_VERSION:
+        if greeting.version != wire.PROTOCOL_VERSION:
             raise wire.PeerProtocolError(
-                f"{first.name} speaks version {first.version}, here it is {wire.PROTOCOL_VERSION}"
+                f"{greeting.name} speaks version {greeting.version}, here it is {wire.PROTOCOL_VERSION}"
             )
-        if first.group != self._limits.group:
+        if greeting.group != self._limits.group:
             raise wire.PeerProtocolError(
-                f"{first.name} is of group '{first.group}', here it is '{self._limits.group}'"
+                f"{greeting.name} is of group '{greeting.group}', here it is '{self._limits.group}'"
             )
-        self._peer_frame_version = first.frame_version
-        return first
+        self._peer_frame_version = greeting.frame_version
+        return greeting
 
     def send_greeting(self) -> None:
-        self.put(
-            wire.Greeting(wire.PROTOCOL_VERSION, self._limits.group, self._limits.name, wire.FRAME_VERSION)
-        )
+        """Queues this side's greeting, which has to come first."""
+        limits = self._limits
+        self.put(wire.Greeting(wire.PROTOCOL_VERSION, limits.group, limits.name, wire.FRAME_VERSION))
 
     def close(self) -> None:
+        """Closes the socket."""
         self._sock.close()
 
 
-async def _run_until_first_ends(*works: asyncio.Task[None]) -> None:
-    """Until one ends; the others are ended. Raises what it raised."""
+async def _run_until_first_ends(*tasks: asyncio.Task[None]) -> None:
+    """Waits until one task ends, and cancels the others. Raises what it raised."""
     try:
-        done, _ = await asyncio.wait(works, return_when=asyncio.FIRST_COMPLETED)
+        done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             task.result()
     finally:
-        for task in works:
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*works, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
 
 CONNECTION_ERRORS = (OSError, TimeoutError, wire.PeerProtocolError)
 
 
 class PeerServer:
-    """Takes connections of other gateways and hands on what they tell."""
+    """Takes connections of other gateways and hands on their frames."""
 
     def __init__(
-        self, address: Address, manners: PeerLimits, handle: FrameHandler, supervisor: Supervisor
+        self, address: Address, limits: PeerLimits, handle: FrameHandler, supervisor: Supervisor
     ) -> None:
-        self._address, self._limits, self._handle = address, manners, handle
-        self._supervisor, self._listener = supervisor, socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.connection_counts: dict[str, int] = {}
+        self._address = address
+        self._limits = limits
+        self._handle = handle
+        self._supervisor = supervisor
+        self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.connection_counts: dict[str, int] = {}  # by the peer's name
         self._open_count = 0
 
     def start(self) -> None:
-        """Raises OSError where the address can't be had."""
+        """Begins to take connections. Raises OSError where the address can't be had."""
         try:
             self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._listener.setblocking(False)
@@ -157,6 +178,10 @@
             raise
         self._supervisor.start_restarting("peers", self._accept)
 
+    def stop(self) -> None:
+        """Takes no connection any more."""
+        self._listener.close()
+
     async def _accept(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
@@ -170,14 +195,15 @@
 
     async def _serve(self, sock: socket.socket) -> None:
         name = ""
-        line = PeerConnection(sock, self._limits)
+        connection = PeerConnection(sock, self._limits)
         try:
-            greeting = await line.read_greeting()
+            greeting = await connection.read_greeting()
             name = greeting.name
             self.connection_counts[name] = self.connection_counts.get(name, 0) + 1
-            line.send_greeting()
-            start = asyncio.get_running_loop().create_task
-            await _run_until_first_ends(start(line.write()), start(self._read(line, name)))
+            connection.send_greeting()
+            create_task = asyncio.get_running_loop().create_task
+            writer = create_task(connection.write())
+            await _run_until_first_ends(writer, create_task(self._read(connection, name)))
         except CONNECTION_ERRORS as error:
             self._supervisor.counters.add("peers that broke off")
             if isinstance(error, wire.PeerProtocolError):
@@ -185,55 +211,69 @@
         finally:
             self._open_count -= 1
             if name:
-                self.connection_counts[name] -= 1
-                if not self.connection_counts[name]:
-                    del self.connection_counts[name]
-            line.close()
+                self._forget_connection(name)
+            connection.close()
+
+    def _forget_connection(self, name: str) -> None:
+        self.connection_counts[name] -= 1
+        if not self.connection_counts[name]:
+            del self.connection_counts[name]
 
-    async def _read(self, line: PeerConnection, name: str) -> None:
-        def answer(frame: wire.PeerFrame) -> None:
-            line.put(frame)
+    async def _read(self, connection: PeerConnection, name: str) -> None:
+        def reply(frame: wire.PeerFrame) -> None:
+            connection.put(frame)
 
-        while (frame := await line.read()) is not None:
+        while (frame := await connection.read()) is not None:
             if isinstance(frame, wire.Ping):
-                line.put(wire.Pong())
+                connection.put(wire.Pong())
             else:
-                self._handle(frame, name, answer)
-
-    def stop(self) -> None:
-        self._listener.close()
+                self._handle(frame, name, reply)
 
 
 class PeerLink:
-    """The way to one other gateway: connected at the first frame, again and again after breaks, and let go
-    when nothing was told for `idle` microseconds."""
+    """The way to one other gateway.
+
+    It connects at the first frame, again after each break, and closes when no frame was queued for
+    `idle_timeout_us`.
+    """
 
     def __init__(
         self,
         name: str,
         address: Address,
-        manners: PeerLimits,
-        idle: int,
+        limits: PeerLimits,
+        idle_timeout_us: int,
         handle: FrameHandler,
         supervisor: Supervisor,
     ) -> None:
-        self.name, self._address, self._limits, self._idle_timeout_us = name, address, manners, idle
-        self._handle, self._supervisor = handle, supervisor
+        self.name = name  # the peer's
+        self._address = address
+        self._limits = limits
+        self._idle_timeout_us = idle_timeout_us
+        self._handle = handle
+        self._supervisor = supervisor
         self._frame_queued = asyncio.Event()
         self._connection: PeerConnection | None = None
-        self._unsent_frames: deque[wire.PeerFrame] = deque(maxlen=16)  # told before the connection is there
-        self.attempt_count = 0
-        self.is_connected, self.disconnect_reason = False, "nothing was to be told yet"
+        self._unsent_frames: deque[wire.PeerFrame] = deque(maxlen=MAX_UNSENT_FRAMES_COUNT)
+        self.attempt_count = 0  # to connect, since the peer last greeted
+        self.is_connected = False
+        self.disconnect_reason = "nothing was to be told yet"
+
+    @property
+    def status(self) -> str:
+        """For people: whether it is connected, and if not, why."""
+        return "connected" if self.is_connected else f"not connected: {self.disconnect_reason}"
 
     def start(self) -> None:
+        """Connects from now on when there is something to send."""
         self._supervisor.start_restarting(f"link to {self.name}", self._run)
 
     def put(self, frame: wire.PeerFrame) -> None:
-        if self._connection is not None:
-            if not self._connection.put(frame):
-                self._supervisor.counters.add("frames to peers lost")
-        else:
+        """Queues a frame; it may be lost."""
+        if self._connection is None:
             self._unsent_frames.append(frame)
+        elif not self._connection.put(frame):
+            self._supervisor.counters.add("frames to peers lost")
         self._frame_queued.set()
 
     async def _run(self) -> None:
@@ -247,69 +287,80 @@
                 if isinstance(error, wire.PeerProtocolError):
                     self._supervisor.log.write("peers", f"{self.name}: {error}", peer=self.name)
             finally:
-                self.is_connected, self._connection = False, None
+                self.is_connected = False
+                self._connection = None
             self.attempt_count += 1
             await asyncio.sleep(self._backoff_s())
 
     def _backoff_s(self) -> float:
-        """Doubled from try to try, spread: a fleet does not come back all at once."""
-        lot = zlib.crc32(f"{self._limits.name}/{self.name}/{self.attempt_count}".encode()) / 2**32
-        longest: float = min(BACKOFF_RANGE_S[1], BACKOFF_RANGE_S[0] * 2 ** min(self.attempt_count, 10))
-        return longest * (0.5 + lot / 2)
+        """Doubles with each attempt, and is spread so that a fleet does not connect all at once."""
+        drawn = zlib.crc32(f"{self._limits.name}/{self.name}/{self.attempt_count}".encode()) / 2**32
+        shortest, longest = BACKOFF_RANGE_S
+        doubled: float = min(longest, shortest * 2 ** min(self.attempt_count, MAX_BACKOFF_DOUBLING_COUNT))
+        return doubled * (0.5 + drawn / 2)
 
-    async def _connect_and_serve(self) -> None:
-        loop, patience = asyncio.get_running_loop(), self._limits.timeout_us / US
+    async def _connect(self) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            async with asyncio.timeout(patience):
-                await loop.sock_connect(sock, self._address)
+            async with asyncio.timeout(self._limits.timeout_us / US):
+                await asyncio.get_running_loop().sock_connect(sock, self._address)
         except BaseException:
             sock.close()
             raise
-        line = PeerConnection(sock, self._limits)
+        return sock
+
+    async def _connect_and_serve(self) -> None:
+        connection = PeerConnection(await self._connect(), self._limits)
+        create_task = asyncio.get_running_loop().create_task
         try:
-            line.send_greeting()
+            connection.send_greeting()
             while self._unsent_frames:
-                line.put(self._unsent_frames.popleft())
-            self._connection = line
-            writes = loop.create_task(line.write())
-            await _run_until_first_ends(
-                writes, loop.create_task(self._read(line)), loop.create_task(self._watch_liveness(line))
-            )
+                connection.put(self._unsent_frames.popleft())
+            self._connection = connection
+            writer = create_task(connection.write())
+            reader = create_task(self._read(connection))
+            await _run_until_first_ends(writer, reader, create_task(self._watch_liveness(connection)))
         finally:
             self._connection = None
-            line.close()
+            connection.close()
 
-    async def _read(self, line: PeerConnection) -> None:
-        greeting = await line.read_greeting()
+    async def _read(self, connection: PeerConnection) -> None:
+        greeting = await connection.read_greeting()
         if greeting.name != self.name:
             raise wire.PeerProtocolError(f"'{greeting.name}' answers where '{self.name}' should be")
-        self.is_connected, self.attempt_count, self.disconnect_reason = True, 0, ""
-        while (frame := await line.read()) is not None:
+        self.is_connected = True
+        self.attempt_count = 0
+        self.disconnect_reason = ""
+        while (frame := await connection.read()) is not None:
             if not isinstance(frame, wire.Pong):
                 self._handle(frame, self.name, self.put)
 
-    async def _watch_liveness(self, line: PeerConnection) -> None:
-        """Half-open lines are found by what stays unanswered, idle ones are let go."""
-        idle, asked, pause = 0.0, 0, self._limits.timeout_us / US / 3
-        sent = heard = 0
+    async def _watch_liveness(self, connection: PeerConnection) -> None:
+        """Returns when the connection is idle; raises TimeoutError when the peer is silent.
+
+        A half-open connection takes what is written for a long time. So a peer that sends nothing while
+        frames are written to it is pinged; that something comes is what counts, since a connection that is
+        always written to is never quite answered.
+        """
+        check_interval_s = self._limits.timeout_us / US / LIVENESS_CHECKS_PER_TIMEOUT
+        idle_s = 0.0
+        silent_check_count = 0
+        written = received = 0
         while True:
             self._frame_queued.clear()
-            await asyncio.sleep(pause)
+            await asyncio.sleep(check_interval_s)
             if self._frame_queued.is_set():
-                idle = 0.0
-            elif (idle := idle + pause) >= self._idle_timeout_us / US:
-                return
-            # a line that is always written to is never quite answered: what counts is that something comes
-            silent = line.received_frame_count == heard and line.write_count > sent
-            asked = asked + 1 if silent else 0
-            sent, heard = line.write_count, line.received_frame_count
-            if asked > 3:
+                idle_s = 0.0
+            else:
+                idle_s += check_interval_s
+                if idle_s >= self._idle_timeout_us / US:
+                    return
+            is_silent = connection.received_frame_count == received and connection.write_count > written
+            silent_check_count = silent_check_count + 1 if is_silent else 0
+            written = connection.write_count
+            received = connection.received_frame_count
+            if silent_check_count > LIVENESS_CHECKS_PER_TIMEOUT:
                 raise TimeoutError(f"nothing has come for {self._limits.timeout_us} us")
-            if silent:
-                line.put(wire.Ping())
-
-    @property
-    def status(self) -> str:
-        return "connected" if self.is_connected else f"not connected: {self.disconnect_reason}"
+            if is_silent:
+                connection.put(wire.Ping())
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -1,4 +1,4 @@
-"""A keeper of the quorum in a gateway: its log on the disk, its words to the others, its time."""
+"""A node of the quorum in a gateway: its log on the disk, its messages to the others, its timer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import os
 import threading
 import uuid
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from typing import Any
 
@@ -17,6 +17,7 @@
     LeaseHolderChanged,
     LeaseOperationReceived,
     LeaseService,
+    LeaseServiceAction,
     LeaseServiceReply,
     LeaseTableReadReceived,
     MembershipChangeReceived,
@@ -27,7 +28,7 @@
 from lotusstream.net.connection import US
 from lotusstream.protocol import peers as wire
 from lotusstream.quorum import events as ev
-from lotusstream.quorum.messages import RaftEnvelope, RaftRecord
+from lotusstream.quorum.messages import Member, RaftEnvelope, RaftRecord
 from lotusstream.quorum.node import RaftNode
 from lotusstream.quorum.replicated_log import PersistedState
 from lotusstream.quorum.timing import RaftTiming
@@ -36,18 +37,21 @@
 from lotusstream.wal.log import WriteAheadLog
 
 _RECORD_DECODER: msgspec.msgpack.Decoder[RaftRecord] = msgspec.msgpack.Decoder(RaftRecord)
-REOPEN_DELAY_S = 1.0  # seconds until a disk that failed is looked at again
+REOPEN_DELAY_S = 1.0  # until a disk that failed is opened again
 LOG_FILE_NAME = "quorum.log"
-ANSWERED_AS = Callable[[wire.QuorumReply], None]
+MIN_TIMER_DELAY_US = 1000
 
 
 def make_disk() -> FileSystemCalls:
-    """The system's calls to the disk; a laboratory puts its own in the way."""
+    """The system's calls to the disk; tests put their own in the way."""
     return FileSystemCalls()
 
 
 def open_store(folder: str) -> tuple[WriteAheadLog, PersistedState]:
-    """Raises LogTrouble: CorruptLog where what is there can't be trusted."""
+    """Opens the node's log, and reads what it holds.
+
+    :raises LogError: CorruptLogError where what is there can't be trusted
+    """
     path = os.path.join(folder, LOG_FILE_NAME)
     try:
         os.makedirs(folder, mode=0o700, exist_ok=True)
@@ -55,22 +59,22 @@
         raise DiskError(folder, error.strerror or str(error), "name a folder that can be made") from error
     log = WriteAheadLog(path, make_disk()).open()
     try:
-        found = PersistedState([_RECORD_DECODER.decode(payload) for payload in log.payloads])
+        persisted = PersistedState([_RECORD_DECODER.decode(payload) for payload in log.payloads])
     except (msgspec.MsgspecError, ValueError) as error:
         log.close()
         hint = "move it away: this keeper then comes back as a new one"
         raise CorruptLogError(path, f"a record can't be read: {error}", hint, 0) from error
     log.payloads = []
-    return log, found
+    return log, persisted
 
 
 @dataclass(frozen=True, slots=True)
 class RaftActorOptions:
-    """`named`: the keepers by name, of the operator file."""
+    """What a node of the quorum is started with."""
 
     name: str
-    folder: str
-    member_names: tuple[str, ...]
+    folder: str  # of its log
+    member_names: tuple[str, ...]  # of the quorum, in the operator file
     raft_timing: RaftTiming
     lease_timing: LeaseTiming
     seed: int
@@ -78,167 +82,221 @@
 
 @dataclass(frozen=True, slots=True)
 class _StoreFailed:
+    """A write to the disk has failed."""
+
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class _OpenStore:
-    pass
+    """Open the disk, for the first time or again."""
+
+
+StoreEvent = ev.RecordsPersisted | _StoreFailed
 
 
 class StoreWriter(Actor[ev.PersistRecords]):
-    """Writes what was asked for in one go with one sync, off the loop. After a failure it writes no more:
-    what the descriptor says is not believed any longer."""
+    """Writes the records off the event loop, all that wait in one write with one sync.
+
+    After a failure it writes no more: a descriptor whose sync has failed can report success for data that
+    the system has already dropped.
+    """
 
     def __init__(
-        self,
-        log: WriteAheadLog,
-        told: Callable[[ev.RecordsPersisted | _StoreFailed], None],
-        supervisor: Supervisor,
+        self, log: WriteAheadLog, notify: Callable[[StoreEvent], None], supervisor: Supervisor
     ) -> None:
         super().__init__("quorum store", supervisor)
-        self._log, self._notify, self._failed = log, told, False
-        self._writing = threading.Lock()  # a task that is ended leaves its thread at work
+        self._log = log
+        self._notify = notify
+        self._has_failed = False
+        self._writing = threading.Lock()  # a cancelled task leaves its thread at work
 
     async def receive(self, message: ev.PersistRecords) -> None:
-        if self._failed:
+        """Writes these records and all others that wait."""
+        if self._has_failed:
             return
-        saves = [message]
-        while (more := self.mailbox.take()) is not None:
-            saves.append(more)
+        writes = [message]
+        while (waiting := self.mailbox.take()) is not None:
+            writes.append(waiting)
         try:
-            await asyncio.to_thread(self._write, saves)
+            await asyncio.to_thread(self._write, writes)
         except DiskError as error:
-            self._failed = True
+            self._has_failed = True
             self._notify(_StoreFailed(str(error)))
             return
         self.supervisor.counters.add("quorum syncs")
-        self._notify(ev.RecordsPersisted(saves[-1].number))
+        self._notify(ev.RecordsPersisted(writes[-1].number))
 
-    def _write(self, saves: list[ev.PersistRecords]) -> None:
-        whole = max((at for at, save in enumerate(saves) if save.replace_log), default=None)
-        payloads = [msgspec.msgpack.encode(record) for save in saves[whole or 0 :] for record in save.records]
+    async def stop(self) -> None:
+        """Ends the actor and closes the log."""
+        await super().stop()
+        await asyncio.to_thread(self._close)
+
+    def _write(self, writes: Sequence[ev.PersistRecords]) -> None:
+        """What stands before the last replacement of the log need not be written."""
+        replacements = [index for index, write in enumerate(writes) if write.replace_log]
+        needed = writes[replacements[-1] :] if replacements else writes
+        payloads = [msgspec.msgpack.encode(record) for write in needed for record in write.records]
         with self._writing:
-            if whole is not None:
+            if replacements:
                 self._log.rewrite(payloads)
             else:
                 self._log.append(*payloads)
 
-    async def stop(self) -> None:
-        await super().stop()
-        await asyncio.to_thread(self._close)
-
     def _close(self) -> None:
-        """Not under a write: its descriptor might be another file's by then."""
+        """Not during a write: its descriptor could belong to another file by then."""
         with self._writing:
             self._log.close()
 
 
-RaftActorMessage = (
-    ev.RaftEvent
-    | LeaseOperationReceived
-    | LeaseTableReadReceived
-    | MembershipChangeReceived
-    | _StoreFailed
-    | _OpenStore
-)
+_Request = LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived
+RaftActorMessage = ev.RaftEvent | _Request | _StoreFailed | _OpenStore
 
 
 class RaftActor(Actor[RaftActorMessage]):
-    """`say` carries an envelope to another keeper; it may be lost. Who asks gives a callable as `caller`."""
+    """Feeds a LeaseService with messages, time and the disk.
+
+    A request's `caller` is a callable that takes its wire.QuorumReply. When the disk fails, the node is as if
+    killed, and another is begun from what the disk has.
+    """
 
     def __init__(
         self,
-        terms: RaftActorOptions,
+        options: RaftActorOptions,
         store: tuple[WriteAheadLog, PersistedState] | None,
-        say: Callable[[RaftEnvelope], None],
+        send: Callable[[RaftEnvelope], None],
         supervisor: Supervisor,
     ) -> None:
+        """Begins closed.
+
+        :param store: as opened before; None where that has failed
+        :param send: sends an envelope to another node; it may be lost
+        """
         super().__init__("keeper", supervisor)
-        self._options, self._send = terms, say
-        self.service: LeaseService | None = None
+        self._options = options
+        self._send = send
+        self.service: LeaseService | None = None  # None while the disk is not open
         self._store: StoreWriter | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0
+        self._timer_at = 0  # microseconds of the boot clock
         self.fault = "" if store else "its disk can't be used"
         self._initial_store = store
         self._start_count = 0
 
     def start(self) -> None:
+        """Opens the disk, and begins."""
         super().start()
         self.post(_OpenStore())
 
     async def receive(self, message: RaftActorMessage) -> None:
+        """Takes one event, or opens or closes the disk."""
         match message:
             case _OpenStore():
                 await self._open()
-                return
-            case _StoreFailed(why):
-                await self._close_after_failure(why)
-                return
+            case _StoreFailed(reason):
+                await self._close_after_failure(reason)
+            case _ if self.service is not None:
+                self._carry_out(self.service.handle(clock.boot_clock(), message))
+                self._schedule(self.service)
+            case LeaseOperationReceived() | LeaseTableReadReceived() | MembershipChangeReceived():
+                reason = self.fault or "not open yet"
+                self._send_reply(LeaseServiceReply(message.caller, message.number, None, "", reason))
+
+    async def stop(self) -> None:
+        """Ends the actor, its timer and its writer."""
+        await super().stop()
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._store is not None:
+            await self._store.stop()
+        elif self._initial_store is not None:
+            self._initial_store[0].close()
+
+    def view(self) -> dict[str, Any]:
+        """The node as it stands here, for people, with the keys of `ctl --json`."""
         if self.service is None:
-            if isinstance(
-                message, LeaseOperationReceived | LeaseTableReadReceived | MembershipChangeReceived
-            ):
-                self._send_reply(
-                    LeaseServiceReply(message.caller, message.number, None, "", self.fault or "not open yet")
-                )
-            return
-        self._carry_out(self.service.handle(clock.boot_clock(), message))
-        self._schedule()
+            return {"role": "none", "trouble": self.fault}
+        node = self.service.node
+        table = self.service.table
+        lag = node.replication_lag()
+        return {
+            "name": node.name,
+            "disk": node.incarnation,
+            "role": node.role.value,
+            "term": node.term,
+            "leader": node.leader,
+            "group": node.cluster_id,
+            "commit": node.commit_index,
+            "last": node.log.last_index,
+            "trouble": "",
+            "members": [_member_view(member, lag.get(member.incarnation)) for member in node.members],
+            "leases": [_lease_view(lease) for lease in table.leases.values()],
+            "notes": {key: _note_view(note) for key, note in table.notes.items()},
+            "terms": _timing_view(self._options.lease_timing),
+        }
 
     # The disk
 
     async def _open(self) -> None:
-        """From what the disk has, whatever was known here before."""
+        """Begins from what the disk has, whatever was known here before."""
+        store = self._initial_store
         try:
-            if (given := self._initial_store) is None:
-                given = await asyncio.to_thread(open_store, self._options.folder)
+            if store is None:
+                store = await asyncio.to_thread(open_store, self._options.folder)
         except Exception as error:
             self._report_store_failure(str(error))
             return
-        log, found = given
-        self._initial_store, self.fault = None, ""
+        log, persisted = store
+        self._initial_store = None
+        self.fault = ""
         self._store = StoreWriter(log, self._store_callback(self._start_count + 1), self.supervisor)
         self._store.start()
         self._start_count += 1
-        terms, now = self._options, clock.boot_clock()
-        fresh = f"{terms.name}-{uuid.uuid4().hex[:12]}"
-        seed = terms.seed + self._start_count
-        keeper = RaftNode(terms.name, found, fresh, terms.member_names, terms.raft_timing, seed, now)
-        self.service = LeaseService(keeper, terms.lease_timing)
+        self.service = self._make_service(persisted)
         self._timer_at = 0
         self.post(ev.RaftTimeAdvanced())
 
-    def _store_callback(self, start: int) -> Callable[[ev.RecordsPersisted | _StoreFailed], None]:
-        def told(event: ev.RecordsPersisted | _StoreFailed) -> None:
-            if self._start_count == start:
+    def _make_service(self, persisted: PersistedState) -> LeaseService:
+        options = self._options
+        now = clock.boot_clock()
+        unused_incarnation = f"{options.name}-{uuid.uuid4().hex[:12]}"
+        seed = options.seed + self._start_count
+        node = RaftNode(
+            options.name, persisted, unused_incarnation, options.member_names, options.raft_timing, seed, now
+        )
+        return LeaseService(node, options.lease_timing)
+
+    def _store_callback(self, start_count: int) -> Callable[[StoreEvent], None]:
+        """Posts what the writer of this start reports; a writer of an earlier start is ignored."""
+
+        def notify(event: StoreEvent) -> None:
+            if self._start_count == start_count:
                 self.post(event)
 
-        return told
+        return notify
 
-    async def _close_after_failure(self, why: str) -> None:
-        """This keeper is as if killed: it says nothing more, and another begins from the disk."""
-        desk, self.service = self.service, None
+    async def _close_after_failure(self, reason: str) -> None:
+        """The node is as if killed: it sends nothing more, and another begins from the disk."""
+        service = self.service
+        self.service = None
         if self._timer is not None:
             self._timer.cancel()
         if self._store is not None:
             await self._store.stop()
-        self._report_store_failure(why)
-        if desk is not None:
-            for caller, number in desk.pending_requests():
-                self._send_reply(LeaseServiceReply(caller, number, None, "", why))
+        self._report_store_failure(reason)
+        if service is not None:
+            for caller, number in service.pending_requests():
+                self._send_reply(LeaseServiceReply(caller, number, None, "", reason))
 
-    def _report_store_failure(self, why: str) -> None:
-        self.fault = why
+    def _report_store_failure(self, reason: str) -> None:
+        self.fault = reason
         self.supervisor.counters.add("quorum disk failures")
-        self.supervisor.log.write("quorum", f"this keeper stands still: {why}", "error", why=why)
+        self.supervisor.log.write("quorum", f"this keeper stands still: {reason}", "error", why=reason)
         asyncio.get_running_loop().call_later(REOPEN_DELAY_S, self.post, _OpenStore())
 
-    # What the desk wants
+    # Actions of the service
 
-    def _carry_out(self, actions: list[Any]) -> None:
-        log = self.supervisor.log
+    def _carry_out(self, actions: Sequence[LeaseServiceAction]) -> None:
         for action in actions:
             match action:
                 case ev.PersistRecords():
@@ -248,89 +306,67 @@
                     self._send(envelope)
                 case LeaseServiceReply():
                     self._send_reply(action)
-                case ev.ReportRoleChange(role, term, leader, why):
-                    self.supervisor.counters.add(f"quorum became {role}")
-                    text = f"{role} in term {term}" + (f", {leader} leads" if leader else "") + f": {why}"
-                    log.write(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=why)
-                case ev.ReportMembershipChange(index, members):
-                    names = [f"{each.name}{'' if each.is_voter else ' (learner)'}" for each in members]
-                    log.write(
-                        "keepers", f"keepers are {', '.join(names)}", "info", index=index, keepers=names
-                    )
-                case LeaseHolderChanged(_, granted):
-                    who = f"{granted.holder}, token {granted.token}" if granted.token else "nobody"
-                    log.write(
-                        "lease",
-                        f"{granted.task}: held by {who}",
-                        "info",
-                        task=granted.task,
-                        holder=granted.holder,
-                        token=granted.token,
-                    )
+                case ev.ReportRoleChange():
+                    self._log_role_change(action)
+                case ev.ReportMembershipChange():
+                    self._log_membership_change(action)
+                case LeaseHolderChanged():
+                    self._log_lease_holder_change(action)
+
+    def _log_role_change(self, change: ev.ReportRoleChange) -> None:
+        role, term, leader, reason = change.role, change.term, change.leader, change.reason
+        self.supervisor.counters.add(f"quorum became {role}")
+        text = f"{role} in term {term}" + (f", {leader} leads" if leader else "") + f": {reason}"
+        log = self.supervisor.log
+        log.write(f"quorum {role}", text, "info", role=role, term=term, leader=leader, why=reason)
+
+    def _log_membership_change(self, change: ev.ReportMembershipChange) -> None:
+        names = [f"{member.name}{'' if member.is_voter else ' (learner)'}" for member in change.members]
+        text = f"keepers are {', '.join(names)}"
+        self.supervisor.log.write("keepers", text, "info", index=change.index, keepers=names)
+
+    def _log_lease_holder_change(self, change: LeaseHolderChanged) -> None:
+        task, holder, token = change.result.task, change.result.holder, change.result.token
+        text = f"{task}: held by {f'{holder}, token {token}' if token else 'nobody'}"
+        self.supervisor.log.write("lease", text, "info", task=task, holder=holder, token=token)
 
     def _send_reply(self, reply: LeaseServiceReply) -> None:
         assert callable(reply.caller)
         view = self.view() if reply.done and reply.result is None else None
-        told = wire.QuorumReply(reply.number, reply.done, reply.result, reply.leader, reply.reason, view)
-        reply.caller(told)
+        reply.caller(
+            wire.QuorumReply(reply.number, reply.done, reply.result, reply.leader, reply.reason, view)
+        )
 
-    def _schedule(self) -> None:
-        assert self.service is not None
-        now, at = clock.boot_clock(), self.service.next_timer_at
-        if self._timer is not None and now < self._timer_at <= at:
+    # Time
+
+    def _schedule(self, service: LeaseService) -> None:
+        """Keeps one timer, for when the service is next due."""
+        now = clock.boot_clock()
+        next_timer_at = service.next_timer_at
+        if self._timer is not None and now < self._timer_at <= next_timer_at:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_at = max(at, now + 1000)
+        self._timer_at = max(next_timer_at, now + MIN_TIMER_DELAY_US)
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later((self._timer_at - now) / US, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Maybe a little early: the loop's timers count whole milliseconds."""
+        """This can come a little early: the loop's timers count whole milliseconds."""
         self._timer = None
         self.post(ev.RaftTimeAdvanced())
 
-    def view(self) -> dict[str, Any]:
-        """As it stands here, for people; ages in microseconds."""
-        if self.service is None:
-            return {"role": "none", "trouble": self.fault}
-        keeper = self.service.node
-        lag = keeper.replication_lag()
-        return {
-            "name": keeper.name,
-            "disk": keeper.incarnation,
-            "role": keeper.role.value,
-            "term": keeper.term,
-            "leader": keeper.leader,
-            "group": keeper.cluster_id,
-            "commit": keeper.commit_index,
-            "last": keeper.log.last_index,
-            "trouble": "",
-            "members": [
-                {
-                    "name": each.name,
-                    "disk": each.incarnation,
-                    "voter": each.is_voter,
-                    "behind": lag.get(each.incarnation),
-                }
-                for each in keeper.members
-            ],
-            "leases": [_lease_view(lease) for lease in self.service.table.leases.values()],
-            "notes": {key: _note_view(note) for key, note in self.service.table.notes.items()},
-            "terms": _timing_view(self._options.lease_timing),
-        }
 
-    async def stop(self) -> None:
-        await super().stop()
-        if self._timer is not None:
-            self._timer.cancel()
-        if self._store is not None:
-            await self._store.stop()
-        elif self._initial_store is not None:
-            self._initial_store[0].close()
+# The keys below are those of `ctl --json`.
 
 
-# The keys below are those of `ctl --json`.
+def _member_view(member: Member, behind: int | None) -> dict[str, Any]:
+    return {
+        "name": member.name,
+        "disk": member.incarnation,
+        "voter": member.is_voter,
+        "behind": behind,
+    }
 
 
 def _lease_view(lease: Lease) -> dict[str, Any]:
--- a/lotusstream/operator/fleet.py
+++ b/lotusstream/operator/fleet.py
@@ -48,6 +48,8 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumMemberAddress:
+    """A node of the quorum, and where other gateways reach it."""
+
     name: str
     host: str
     port: int
@@ -55,54 +57,49 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaAddress(QuorumMemberAddress):
-    """A gateway that holds things for others, where, and what may be lost with it."""
+    """A gateway that holds copies, and what fails together with it."""
 
-    machine: str
+    machine: str  # no two copies share one
     zone: str
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """Times in microseconds. `store`: the folder of this gateway's log, if it is a keeper. `listen`: where it
-    takes peers, instead of its address in `keepers`."""
+    """A checked `fleet` block. Times in microseconds."""
 
-    group: str
+    group: str  # the fleet's name; gateways of another group are refused
     quorum_members: tuple[QuorumMemberAddress, ...]
-    store: str | None
-    listen: tuple[str, int] | None
+    store: str | None  # the folder of this gateway's logs
+    listen: tuple[str, int] | None  # where it takes peers, instead of its address in the file
     raft_timing: RaftTiming
     lease_timing: LeaseTiming
-    peer_timeout_us: int
-    max_peer_connections: int
-    tasks: tuple[str, ...]
+    peer_timeout_us: int  # how long a peer may be slow or silent
+    max_peer_connections: int  # from other gateways, at once
+    tasks: tuple[str, ...]  # that this gateway does when nobody else does
     replicas: tuple[ReplicaAddress, ...] = ()
     copies: ReplicationOptions | None = None
-    idempotency_retention_us: int | None = None  # how long a command with a mark is known to all gateways
+    idempotency_retention_us: int | None = None  # how long the outcome of a keyed request is known to all
     health_checks: HealthCheckOptions | None = None
 
     def descriptors(self, name: str) -> int:
-        """How many the gateway of this name needs for it at most."""
-        serves = self.quorum_member(name) or self.replica(name)
-        looks = (
-            self.health_checks.most
-            if self.health_checks is not None and HEALTH_CHECK_TASK in self.tasks
-            else 0
-        )
-        return (
-            len({*self.quorum_members, *self.replicas})
-            + 4
-            + (self.max_peer_connections + 4 if serves else 0)
-            + looks
-        )
+        """How many file descriptors the gateway of this name needs for its part at most."""
+        is_server = self.quorum_member(name) or self.replica(name)
+        server_count = self.max_peer_connections + 4 if is_server else 0
+        does_health_checks = self.health_checks is not None and HEALTH_CHECK_TASK in self.tasks
+        check_count = self.health_checks.most if self.health_checks and does_health_checks else 0
+        return len({*self.quorum_members, *self.replicas}) + 4 + server_count + check_count
 
     def replica(self, name: str) -> ReplicaAddress | None:
+        """The replica of this name."""
         return next((each for each in self.replicas if each.name == name), None)
 
     def quorum_member(self, name: str) -> QuorumMemberAddress | None:
+        """The node of the quorum of this name."""
         return next((each for each in self.quorum_members if each.name == name), None)
 
 
 def address(word: Word) -> tuple[str, int]:
+    """A host and a port. Raises DirectiveError."""
     host, _, port = word.plain().rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise DirectiveError(f"found '{word.text}'", "host:port would do, as in 10.0.0.4:7100")
@@ -110,6 +107,7 @@
 
 
 def task_names(words: Sequence[Word]) -> tuple[str, ...]:
+    """One task at least. Raises DirectiveError."""
     if not words:
         raise DirectiveError("found the end of the line", f"one of {', '.join(TASK_DESCRIPTIONS)} would do")
     for word in words:
--- a/lotusstream/protocol/peers.py
+++ b/lotusstream/protocol/peers.py
@@ -1,6 +1,7 @@
-"""What gateways tell each other: a length of four bytes, big-endian, then msgpack. Bytes only.
+"""Frames between gateways: a length of four bytes, big-endian, then msgpack. Bytes only.
 
-The first frame each way is a Greeting. A caller opens the connection; what it asked is answered on it.
+The first frame each way is a Greeting. Whoever opens a connection sends requests on it and gets the replies
+on it. The order of fields and the tags are the wire form.
 """
 
 from __future__ import annotations
@@ -24,71 +25,76 @@
 from lotusstream.quorum.messages import RaftEnvelope
 
 LENGTH_PREFIX = struct.Struct("!I")
-PROTOCOL_VERSION = 1  # of the form of frames: another one can't be read at all
-FRAME_VERSION = 2  # the newest frames that are understood here
+PROTOCOL_VERSION = 1  # of the form of frames; frames of another version can't be read at all
+FRAME_VERSION = 2  # of the newest frame types that are understood here
 MAX_FRAME_BYTES = 2 << 20  # a record of the log is at most 1 MB
 
 
 class PeerProtocolError(ProtocolError):
-    """What came is no frame of ours; the connection can't be read on."""
+    """What came is no frame; the connection can't be read any further."""
 
 
 class FrameBase(msgspec.Struct, frozen=True, array_like=True, tag_field="is"):
-    pass
+    """A frame between gateways."""
 
 
 class Greeting(FrameBase, frozen=True, tag="greeting"):
-    """`group`: a told name that keeps strangers out by mistake; it is no secret. `speaks`: the newest frames
-    that this side understands; programs of before there were any others do not say it."""
+    """Who is at this end of the connection."""
 
-    version: int
-    group: str
-    name: str
-    frame_version: int = 1
+    version: int  # PROTOCOL_VERSION
+    group: str  # keeps gateways of another fleet out that come by mistake; it is no secret
+    name: str  # of the gateway
+    frame_version: int = 1  # FRAME_VERSION; programs of version 1 leave it out
 
 
 class Ping(FrameBase, frozen=True, tag="ping"):
-    pass
+    """Asks whether the other side still answers."""
 
 
 class Pong(FrameBase, frozen=True, tag="pong"):
-    pass
+    """Answers a Ping."""
 
 
 class RaftFrame(FrameBase, frozen=True, tag="quorum"):
+    """A Raft message between two nodes of the quorum."""
+
     envelope: RaftEnvelope
 
 
 class LeaseOperationRequest(FrameBase, frozen=True, tag="ask"):
-    number: int
+    """Asks a node of the quorum for an operation on a lease."""
+
+    number: int  # returned with the reply
     operation: LeaseOperation
 
 
 class LeaseTableRequest(FrameBase, frozen=True, tag="look"):
-    """The table of leases, and the keepers, as they are after all that was told before."""
+    """Asks for the lease table and the members, with everything committed before now."""
 
-    number: int
+    number: int  # returned with the reply
 
 
 class MembershipChangeRequest(FrameBase, frozen=True, tag="alter"):
-    number: int
+    """Asks for a node to become a member of the quorum, or to be removed."""
+
+    number: int  # returned with the reply
     name: str
-    add: bool
+    add: bool  # False removes it
 
 
 class QuorumReply(FrameBase, frozen=True, tag="told"):
-    """`granted` None: not known, or not asked for. `leader`: whom to ask. `view`: of a Look."""
+    """Answers a request to the quorum, or notifies a waiter that a lease is free."""
 
-    number: int
-    done: bool
-    result: LeaseResult | None
-    leader: str
-    reason: str
-    view: dict[str, Any] | None = None
+    number: int  # of the request; 0 notifies a waiter
+    done: bool  # the quorum has carried it out
+    result: LeaseResult | None  # None where it is not known, or was no operation
+    leader: str  # the node to ask; '' where it is not known
+    reason: str  # for people
+    view: dict[str, Any] | None = None  # answers a LeaseTableRequest
 
 
 class ReplicationFrame(FrameBase, frozen=True, tag="word"):
-    """Between two holders of copies."""
+    """A message between two replicas."""
 
     source: ReplicaId
     target: ReplicaId
@@ -96,10 +102,9 @@
 
 
 class ReplicaHeartbeat(FrameBase, frozen=True, tag="beat"):
-    """A holder's beacon to whoever decides on homes. `joined`: by shard, epoch and whom it has filled.
-    `left`: it promises nothing any more. `yields`: by shard, epoch and whose disk has more."""
+    """A replica's heartbeat to the shard controller."""
 
-    number: int
+    number: int  # returned with the reply
     holder: ReplicaHost
     session: str
     joined: dict[int, tuple[int, tuple[ReplicaId, ...]]]
@@ -108,7 +113,7 @@
 
 
 class ReplicaHeartbeatReply(FrameBase, frozen=True, tag="beaten"):
-    """The answer: what this holder has to do with, all homes, and the epochs of all shards."""
+    """Answers a heartbeat: the shards of this replica, and the primary and epoch of each shard."""
 
     number: int
     assigned: tuple[ShardAssignment, ...]
@@ -117,17 +122,16 @@
 
 
 class CommitmentRequest(FrameBase, frozen=True, tag="keep"):
-    """Asks a home to hold something, before it is sent or (`finish`) answered. `after`: the owner whose claim
-    it takes the place of."""
+    """Asks a primary to commit an idempotency record, before the request is sent or its answer given."""
 
-    number: int
-    finish: bool
+    number: int  # returned with the reply
+    finish: bool  # the record holds the outcome
     holding: IdempotencyRecord
     after: str = ""
 
 
 class CommitmentReply(FrameBase, frozen=True, tag="kept"):
-    """`what`: promised, known (with the holding that is there), unkept, or maybe. `home`: whom to ask."""
+    """Answers a CommitmentRequest."""
 
     number: int
     what: str
@@ -137,16 +141,16 @@
 
 
 class HealthReportSubscription(FrameBase, frozen=True, tag="hear"):
-    """Asks a keeper to pass on what is found of engines, for `span` microseconds."""
+    """Asks a node of the quorum to pass on health reports of endpoints."""
 
-    duration_us: int
+    duration_us: int  # how long
 
 
 class HealthReportFrame(FrameBase, frozen=True, tag="tidings"):
-    """From who examines engines to the keepers, and on to all. `late`: microseconds since it was told."""
+    """Health reports, from the gateway that checks endpoints to the quorum and on to all subscribers."""
 
     reports: HealthReports
-    age_us: int = 0
+    age_us: int = 0  # since they were made, as far as that is known
 
 
 PeerFrame = (
@@ -172,11 +176,11 @@
     HealthReportFrame: 2,
     DigestRequest: 2,
     DigestReply: 2,
-}  # others are of the first
+}  # all other types are of version 1
 
 
 def required_frame_version(frame: PeerFrame) -> int:
-    """What a program has to speak to understand this."""
+    """The frame version of a program that understands this frame."""
     return INTRODUCED_IN_VERSION.get(type(frame.message if isinstance(frame, ReplicationFrame) else frame), 1)
 
 
@@ -184,7 +188,7 @@
 
 
 def encode(frame: PeerFrame) -> bytes:
-    """Raises ValueError where it would be too long."""
+    """A frame with its length prefix. Raises ValueError where it is too long."""
     payload = msgspec.msgpack.encode(frame)
     if len(payload) > MAX_FRAME_BYTES:
         raise ValueError(f"a frame of {len(payload)} bytes; {MAX_FRAME_BYTES} at most")
@@ -192,7 +196,10 @@
 
 
 def decode_first(data: memoryview) -> tuple[PeerFrame, int] | None:
-    """The first frame and how many bytes it took, or None if it is not whole yet. Raises BrokenPeer."""
+    """The first frame and how many bytes it took, or None if it is not complete yet.
+
+    :raises PeerProtocolError: where the bytes are no frame
+    """
     if len(data) < LENGTH_PREFIX.size:
         return None
     (length,) = LENGTH_PREFIX.unpack_from(data)
