--- a/lotusstream/interface/actions.py
+++ b/lotusstream/interface/actions.py
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Answer that the request was not executed, or that repeating it is harmless."""
+    """Answer the client that the request was not executed, or that repeating it is harmless."""
 
     request_id: int
     retry_after: int  # microseconds; 0: none given
-    degraded: bool = False  # the level of reduced service does not admit it
+    degraded: bool = False  # the degradation level does not admit it
     reason: RejectionReason = field(default=RejectionReason.UNKNOWN, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Answer that the request failed and may have been executed."""
+    """Answer the client that the request failed and may have been executed."""
 
     request_id: int
     reason: RejectionReason = field(default=RejectionReason.UNKNOWN, compare=False)
@@ -85,13 +85,13 @@
     zone: int
     kind: int
     cores: float
-    threads: int  # of this gateway's attempts there
+    threads: int  # that this gateway's attempts occupy there
     in_flight: int  # attempts of this gateway there
-    loads: int  # table groups that are being loaded there
+    loads: int  # table groups that are being loaded there; not its utilization
     latency_ratio: float  # recent latency over what the work would take alone
     overloaded: bool
     concurrency_limit: float  # threads that this gateway may have there while it is overloaded
-    retry_credit: float  # retries that may go there
+    retry_credit: float  # retries that may go there; at least 1 for the next one
     failures: int  # in a row
     ejected_until: int | None  # microseconds
     slow_start_until: int | None  # microseconds
@@ -106,7 +106,7 @@
     baseline_ratio: float  # latency ratio of the slowest pool
     overloaded: bool  # some pool is
     open_requests: int  # without a final answer
-    queued_requests: int  # of these, the ones that wait for an attempt
+    queued_requests: int  # of these, the ones that wait for their next attempt to start
 
 
 Action = (
--- a/lotusstream/interface/events.py
+++ b/lotusstream/interface/events.py
@@ -57,9 +57,9 @@
     client_timeout: int  # microseconds that the client still waits
     group: int  # table group that it reads or loads
     key: int | None  # orders it after others with this key, if its profile is ordered
-    cell: int | None = None  # it may run in this cell only; None: anywhere
+    cell: int | None = None  # of its tenant: it may run in this cell only; None: anywhere
     tenant: str | None = None  # not read by the module, but by the subsystems in front of it
-    queue_delay: int = 0  # microseconds it waited for this decision, since it may have been sent
+    queue_delay: int = 0  # microseconds from the earliest time it may have arrived to this event
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,8 @@
     work: int | None  # thread microseconds that it took, where the endpoint reports them
     memory_mb: float | None  # that it took, where the endpoint reports it
     report: LoadReport | None
-    # the last thing known of the endpoint is an answer of any kind, so a reset ended a connection only
+    # the endpoint responded to the last call for the attempt: a RESET ended a connection, and is no sign of a
+    # restart
     endpoint_responded: bool
 
 
@@ -87,7 +88,7 @@
     attempt: int  # its number among the request's attempts, from 0
     endpoint_id: EndpointId
     kind: ProgressKind
-    amount: float  # of PROGRESS: the part that is done, 0 to 1
+    amount: float  # for kind PROGRESS: the part of the attempt that is done, 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DegradationChanged:
-    """The level of reduced service, which holds until the next of these events."""
+    """The degradation level that is in force until the next of these events."""
 
     admitted_ratios: tuple[float, ...]  # by profile: the part of new requests that is admitted, 0 to 1
     retries_allowed: RetriesAllowed
@@ -135,8 +136,9 @@
 class CellEndpointsChanged:
     """From now on requests of this cell may run on these endpoints only, at every attempt.
 
-    The cells of one pool share limits and statistics of latency and overload; pools share nothing. An
-    endpoint belongs to one pool: that of the latest event that names it.
+    A cell here is a set of endpoints for some tenants, not a deduplication cell. The cells of one pool share
+    limits and statistics of latency and overload; pools share nothing. An endpoint belongs to one pool: that
+    of the latest event that names it.
     """
 
     cell: int
@@ -165,7 +167,7 @@
 
     request_id: int
     zone: int  # of the endpoint; -1 where it is unknown or does not matter
-    cell: int  # likewise
+    cell: int  # deduplication cell of the endpoint; -1 likewise
     started_at: int  # microseconds, when that attempt began
 
 
--- a/lotusstream/interface/model.py
+++ b/lotusstream/interface/model.py
@@ -41,10 +41,10 @@
 
     ANSWERED = 200
     CANCELLED = 499
-    MOOT = 410  # never sent: the request was over or out of time
+    MOOT = 410  # not executed: the request was closed or out of time before it was sent
     ERROR = 500
     CONNECT_FAILED = 502
-    FULL = 503  # rejected by the endpoint
+    FULL = 503  # rejected by the endpoint as full, so not executed
     TIMED_OUT = 504
     RESET = 598
 
@@ -57,6 +57,7 @@
 class RejectionReason(Enum):
     """Why a request gets no result."""
 
+    # the texts are logged and are names of counters
     TOO_LATE = "too little time was left when it came"
     OVERLOADED = "this gateway is overloaded"
     REDUCED = "the level of reduced service does not admit it"
@@ -127,8 +128,8 @@
     ordered_by_key: bool  # requests with the same key run one after the other
     zones: frozenset[int] | None  # zones that may run it; None: all
     kinds: frozenset[int] | None  # endpoint kinds that may run it; None: all
-    is_load: bool  # it loads a table group, for which others may wait
-    waits_for_loads: bool  # it waits while its group is being loaded
+    is_load: bool  # it loads a table group into the endpoint's cache, for which others may wait
+    waits_for_loads: bool  # it waits while its table group is being loaded at its endpoint
     threads: int  # that one request occupies, at least 1
 
     @property
@@ -165,8 +166,8 @@
     answer_slack: int  # microseconds after the deadline in which an answer still counts
     slow_start_initial_ratio: float  # capacity of an endpoint that has just started, 0 to 1
     slow_start_duration: int  # microseconds until it has its full capacity
-    overload_multiple: float  # of its present capacity: an endpoint sent more of it falls over
-    overload_window: int  # microseconds over which that is counted
+    overload_multiple: float  # of its present capacity: an endpoint that is sent more work than this fails
+    overload_window: int  # microseconds over which that work is summed
     key_quarantine: int  # microseconds a key is not used after an attempt that may still be running
     retry_budget_min: float  # retries allowed in a window without any requests
     retry_budget_ratio: float  # retries allowed for each request in the window
--- a/lotusstream/net/action_executor.py
+++ b/lotusstream/net/action_executor.py
@@ -15,8 +15,8 @@
 class ActionExecutor:
     """Carries out each action by its type. One that fails is counted and logged, and the rest go on.
 
-    An action may name a request that is gone: its client has left, or the decision module was restarted, in
-    the very batch that the action comes from. Such an action is passed over.
+    An action may name a request that is closed: its client has left, or the decision module was restarted, in
+    the same batch. Such an action is ignored.
     """
 
     def __init__(
--- a/lotusstream/net/attempt_dispatcher.py
+++ b/lotusstream/net/attempt_dispatcher.py
@@ -15,7 +15,7 @@
 
 
 class AttemptDispatcher:
-    """Turns orders of the decision module about attempts into messages to endpoint actors."""
+    """Turns actions of the decision module that concern attempts into messages to endpoint actors."""
 
     def __init__(
         self,
@@ -32,23 +32,25 @@
         self._report = report
         self._counters = counters
 
-    def start(self, now: int, request: OpenRequest, order: api.StartAttempt) -> None:
-        """Starts the next attempt of a request. It ends at once as surely not executed where its endpoint is
-        unknown, the request is closed, or it would be one too many. `now`: in microseconds."""
+    def start(self, now: int, request: OpenRequest, action: api.StartAttempt) -> None:
+        """Starts the next attempt of a request. It ends at once as MOOT where its endpoint is unknown, the
+        request is closed, or the request has had all attempts it may have. `now`: in microseconds."""
         attempt = len(request.attempts)
-        actor = self._endpoints.actor(order.endpoint_id)
+        actor = self._endpoints.actor(action.endpoint_id)
         request.attempts.append(actor)
         request.in_flight.add(attempt)
         is_allowed = request.is_open and attempt < self._max_attempts
         if actor is None or not is_allowed:
             request.attempts[attempt] = None
-            self._report(AttemptFinished(request.request_id, attempt, order.endpoint_id, api.Outcome.MOOT, 0))
+            self._report(
+                AttemptFinished(request.request_id, attempt, action.endpoint_id, api.Outcome.MOOT, 0)
+            )
             return
         actor.record_attempt_started(now)
         self._count_start(request, attempt)
-        run = self._run_attempt(now, request, attempt, order.timeout)
+        run = self._run_attempt(now, request, attempt, action.timeout)
         if request.gate is not None:
-            entry = self._endpoints.listed[order.endpoint_id].entry
+            entry = self._endpoints.listed[action.endpoint_id].entry
             request.gate.post(AttemptReady(run, actor, entry, request.received))
         else:
             actor.post(run)
--- a/lotusstream/net/decider.py
+++ b/lotusstream/net/decider.py
@@ -37,14 +37,14 @@
 from lotusstream.net.request_replies import RequestReplies
 from lotusstream.protocol import discovery
 
-MAX_QUEUE_DELAY_US = 100_000  # after which a request is decided whatever fits a batch: it may be rejected
+MAX_QUEUE_DELAY_US = 100_000  # after which a request is decided, and maybe rejected, even in a full batch
 
 
 class Decider(Actor[DeciderMessage]):
     """Notifies the decision module in batches, and has its actions carried out at the end of each.
 
     Only this actor calls the module, so no event comes in between those of a batch. Within a batch the time
-    stands still, and from one batch to the next it never goes back.
+    does not change, and from one batch to the next it never goes back.
     """
 
     mailbox: DeciderMailbox
@@ -101,7 +101,8 @@
         while True:
             await self.mailbox.wait()
             pause = self._last_batch_at + self._startup_event.batch_interval - self._clock.now()
-            if pause > 0 or self._has_leftovers:  # at least one turn of the loop, so that sockets are read
+            # at least one iteration of the loop, so that sockets are read
+            if pause > 0 or self._has_leftovers:
                 await asyncio.sleep(max(0, pause) / US)
             self._run_batch()
 
@@ -118,8 +119,8 @@
 
     def _run_batch(self) -> None:
         """Notifies the module of all that is known by now, and then has its actions carried out in their
-        order. Ends, departures and withdrawals go before new requests, and of these no more than fit a batch:
-        the others wait for the next, and the module is notified for how long."""
+        order. All other messages go before new requests, and of these no more than fit a batch: the rest wait
+        for the next one, and RequestReceived.queue_delay says how long each has waited."""
         self._now = max(self._now, self._clock.now())
         self._last_batch_at = self._now
         actions: list[api.Action] = []
@@ -168,7 +169,8 @@
     # Messages
 
     def _handle(self, message: DeciderMessage) -> api.Event | None:
-        """The event that the module is to be notified of, if any."""
+        """Handles a message; returns the event that the module is to be notified of, if any. TimerDue and
+        BatchDue have none: they only cause a batch."""
         match message:
             case ReceivedRequest():
                 return self._lifecycle.on_received_request(self._now, message)
@@ -221,7 +223,7 @@
         )
 
     def _restart_events(self) -> Sequence[api.Event]:
-        """The start, the endpoint list as it is now, and the shutdown where one has begun."""
+        """For a new module: the start, the present endpoint list, and the shutdown where one has begun."""
         snapshot = self._list_feed.snapshot()
         if self._shutdown_event is None:
             return self._startup_event, snapshot
@@ -229,7 +231,7 @@
 
 
 def _supported(started: api.GatewayStarted) -> api.GatewayStarted:
-    """The start without the capabilities that the protocol to endpoints has no call for."""
+    """GatewayStarted without the capabilities that the protocol to endpoints does not offer."""
     capabilities = replace(
         started.capabilities, health_checks=False, memory_grants=False, requires_subscription=False
     )
--- a/lotusstream/net/decision_module.py
+++ b/lotusstream/net/decision_module.py
@@ -24,8 +24,8 @@
 
 
 class DecisionModuleHost:
-    """Guards the gateway against a decision module that raises: what it knew is lost, so all that it had
-    begun is abandoned, and a new one is started from nothing. Costs every open request its answer."""
+    """Guards the gateway against a decision module that raises. Its state is lost, so all open requests fail
+    (except those whose answer is being retained), their attempts are cancelled, and a new module starts."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._module = self._new_module()
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """The module's actions for an event; those of a new module's start where it raises."""
+        """Returns the module's actions for an event; where it raises, those of a new module's start."""
         try:
             return list(self._module.handle(now, event))
         except Exception:
--- a/lotusstream/net/decision_timers.py
+++ b/lotusstream/net/decision_timers.py
@@ -14,7 +14,7 @@
     """Pending timers in the order of their times, with one timer of the event loop for the earliest."""
 
     def __init__(self, clock: Clock, on_due: Callable[[], None]) -> None:
-        """`on_due` is called by the event loop once the earliest timer is due; it takes nothing off."""
+        """`on_due` is called by the event loop once the earliest timer is due; `pop_due` takes it off."""
         self._clock = clock
         self._on_due = on_due
         self._pending: list[tuple[int, int]] = []  # heap of (time in microseconds, token)
@@ -36,7 +36,7 @@
         self._pending.clear()
 
     def arm(self) -> None:
-        """Sets the loop's timer for the earliest pending one, unless it is set for that time or before."""
+        """Sets the event loop's timer for the earliest pending one, unless it is set no later than that."""
         if not self._pending:
             return
         at, _ = self._pending[0]
--- a/lotusstream/net/endpoint_list_feed.py
+++ b/lotusstream/net/endpoint_list_feed.py
@@ -14,8 +14,8 @@
 
 
 class EndpointListFeed:
-    """Guards answers and timers against a long list: the module is notified of its changes in slices, of
-    endpoints that are not ready first."""
+    """Keeps the changes that the module is not notified of yet, those to endpoints that are not ready first.
+    Guards answers and timers against waiting for a long list: a batch takes one slice of the changes."""
 
     def __init__(self, endpoints: EndpointRegistry, clock: Clock, counters: Counters) -> None:
         self._endpoints = endpoints
@@ -25,11 +25,12 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether there is another slice."""
+        """Whether there are changes that the module is not notified of yet."""
         return bool(self._pending)
 
     def apply(self, update: discovery.EndpointListUpdate) -> None:
-        """Takes over into the registry what has changed, and puts it behind what is pending."""
+        """Applies what has changed to the registry and adds it to the pending changes, where it replaces an
+        older change of the same endpoint."""
         began = self._clock.now()
         changed = self._endpoints.changed_entries(update)
         self._endpoints.apply(changed)
--- a/lotusstream/net/open_requests.py
+++ b/lotusstream/net/open_requests.py
@@ -1,4 +1,7 @@
-"""The requests that the decider has admitted, until they are closed and their attempts have ended."""
+"""The requests that the decider has taken on, until they are closed and their attempts have ended.
+
+This is the clients' side; `lotusstream/policy/open_requests.py` is that of the decisions.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,8 @@
     received: ReceivedRequest
     gate: CommitmentGate | None  # that its attempts and its answer pass through, if any
     is_open: bool = True  # its client still waits for an answer
-    attempts: list[EndpointActor | None] = field(default_factory=list)  # None: ended without an endpoint
+    # by number; None: ended before it reached an endpoint
+    attempts: list[EndpointActor | None] = field(default_factory=list)
     in_flight: set[int] = field(default_factory=set)  # numbers of the attempts that have not ended
     priority: int | None = None  # the latest that the decision module gave
     may_have_run: bool = False  # an attempt that has ended may have been executed
@@ -35,7 +39,8 @@
     """
 
     def __init__(self, max_requests: int, max_statement_bytes: int) -> None:
-        """`max_requests`: not closed at once, 0 for no limit. `max_statement_bytes`: of their statements."""
+        """`max_requests`: that may be open at a time; 0: no limit. `max_statement_bytes`: of the statements
+        of all open requests."""
         self._max_requests = max_requests
         self._max_statement_bytes = max_statement_bytes
         self._statement_bytes = 0
@@ -60,7 +65,7 @@
         return self._by_id.get(request_id)
 
     def get_open(self, request_id: int) -> OpenRequest | None:
-        """The request with this id while an answer is owed: its client may have left a moment ago."""
+        """The request with this id while an answer is owed; None once it is closed or has left the table."""
         request = self._by_id.get(request_id)
         if request is None or not request.is_open:
             return None
@@ -75,7 +80,7 @@
         return call_id in self._call_ids
 
     def has_capacity_for(self, received: ReceivedRequest) -> bool:
-        """Whether both limits leave room for one more request."""
+        """Whether both limits allow one more request."""
         if 0 < self._max_requests <= len(self._by_received):
             return False
         return self._statement_bytes + len(received.statement) <= self._max_statement_bytes
--- a/lotusstream/net/operator_view.py
+++ b/lotusstream/net/operator_view.py
@@ -1,4 +1,4 @@
-"""Makes the decider's view for operators."""
+"""Builds the view of open requests and endpoints that `ctl` shows to operators."""
 
 from __future__ import annotations
 
--- a/lotusstream/net/request_lifecycle.py
+++ b/lotusstream/net/request_lifecycle.py
@@ -16,7 +16,7 @@
 
 
 class RequestLifecycle:
-    """Handles what is reported about requests and their attempts. Each `on_` method keeps the book of open
+    """Handles what is reported about requests and their attempts. Each `on_` method updates the table of open
     requests and returns the event that the decision module is to be notified of, if any. `now` is the time of
     the batch in microseconds."""
 
@@ -121,7 +121,8 @@
             request.gate.post(AnswerReceived(request.request_id, rows, received.deadline, time_limit))
 
     def on_answer_ready(self, ready: AnswerReady) -> api.Event | None:
-        """The commitment gate has retained the answer, or had retained one of an earlier request."""
+        """The commitment gate has retained the answer, or has found one that it retained for an earlier
+        request with the same idempotency key, or gives a reason why the request fails."""
         request = self._requests.get_open(ready.request_id)
         if request is None:
             return None
@@ -143,7 +144,7 @@
 
 
 def _request_received(now: int, request: OpenRequest, queue_delay: int) -> api.RequestReceived:
-    """`queue_delay`: from the arrival until now, microseconds, as `now`."""
+    """`now` and `queue_delay`, the time from the arrival until now, are in microseconds."""
     received = request.received
     fields = received.fields
     return api.RequestReceived(
--- a/lotusstream/net/request_replies.py
+++ b/lotusstream/net/request_replies.py
@@ -1,4 +1,4 @@
-"""Replies to the clients of admitted requests."""
+"""Replies to the clients of open requests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self._reply(request, front.encode_failure(request.received.seqid, reason), "failed")
 
     def reject(self, request: OpenRequest, retry_after: int) -> None:
-        """Sends that the gateway sheds load. `retry_after`: microseconds, 0 for no advice."""
+        """Sends a rejection. `retry_after`: microseconds; 0: none is given."""
         self._reply(request, front.encode_rejection(request.received.seqid, retry_after), "shed")
 
     def log_no_result(self, now: int, request: OpenRequest, reason: api.RejectionReason) -> None:
--- a/lotusstream/policy/admission.py
+++ b/lotusstream/policy/admission.py
@@ -23,7 +23,7 @@
     """Admits requests or rejects them at once; bounds their deadlines by that of a graceful shutdown.
 
     The rule: every request gets exactly one final answer before its deadline. Inputs: the client's timeout,
-    the queue delay and the shutdown's deadline, all in microseconds, and the level of reduced service.
+    the queue delay and the shutdown's deadline, all in microseconds, and the degradation level.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._shutdown_deadline = NO_SHUTDOWN
 
     def on_request_received(self, event: api.RequestReceived) -> None:
-        """Takes a request, counts it, and rejects it if it cannot or must not be run."""
+        """Adds a request to the open ones, counts it, and rejects it if it cannot or must not be run."""
         request = self._new_request(event)
         self._open_requests.add(request)
         self._retries.on_request_received()
@@ -70,7 +70,7 @@
         estimates = pool.estimates[event.profile]
         work = estimates.estimate(now, event.work_hint)
         deadline = min(now + event.client_timeout, self._shutdown_deadline)
-        # without a hint the mean is too high a guess: most requests lie below it
+        # without a hint the work is the mean, which most requests lie below: it would stretch their objective
         stretch = profile.objective_stretch * work / profile.threads if event.work_hint else 0.0
         return Request(
             id=event.request_id,
@@ -89,6 +89,7 @@
         )
 
     def _rejection_reason(self, request: Request, queue_delay: int) -> RejectionReason | None:
+        """Returns why the request is rejected, if it is; takes in its queue delay, in microseconds."""
         if self._queue_delay.rejects(self._context.now, queue_delay):
             return RejectionReason.OVERLOADED
         if request.deadline - self._context.now <= self._context.answer_margin:
@@ -98,10 +99,10 @@
         return None
 
     def on_degradation_changed(self, event: api.DegradationChanged) -> None:
-        """Answers at once what the level does not admit and was not sent yet."""
+        """Rejects at once waiting requests without an attempt that the new level does not admit."""
         self._degradation.change(event)
-        unsent = [request for request in self._open_requests.waiting.values() if not request.attempts]
-        for request in [request for request in unsent if not self._degradation.admits(request)]:
+        unattempted = [request for request in self._open_requests.waiting.values() if not request.attempts]
+        for request in [request for request in unattempted if not self._degradation.admits(request)]:
             self._rejection.reject(request, RejectionReason.REDUCED)
 
     def on_shutdown_started(self, event: api.ShutdownStarted) -> None:
--- a/lotusstream/policy/affinity.py
+++ b/lotusstream/policy/affinity.py
@@ -1,8 +1,10 @@
 """Which endpoints cache which table groups, agreed among gateways by hashing and without a message.
 
-Each endpoint caches as many groups as it has room for: those with the least weighted draw, where a group's
-weight is its part of the requests seen. That follows the traffic, so it is computed again periodically, a few
-endpoints at a time. Source of the draw: weighted rendezvous hashing.
+Each endpoint is taken to cache a fixed number of groups: those with the least weighted draw, where a group's
+weight is its number of recent requests. Weights follow the traffic, so the groups are computed again
+periodically, a few endpoints at a time. Source of the draw: weighted rendezvous hashing.
+
+`affinity_sets.py` derives from this which endpoints a request prefers.
 """
 
 from __future__ import annotations
@@ -24,11 +26,11 @@
 
 
 class Affinity:
-    """The groups that each enrolled endpoint caches, and the requests that this follows."""
+    """The groups that each enrolled endpoint caches, and the counts of requests that they depend on."""
 
     def __init__(self, groups_per_endpoint: int, epoch: int) -> None:
-        """`groups_per_endpoint`: that it caches. `epoch`: microseconds over which requests are counted, and
-        counted together with those of the epoch before."""
+        """`groups_per_endpoint`: that each endpoint caches. `epoch`: microseconds after which new counts of
+        requests begin; those of the present epoch and of the one before are summed."""
         self._groups_per_endpoint = groups_per_endpoint
         self._epoch_length = epoch
         self._epoch = 0  # number of the present one
@@ -42,7 +44,8 @@
         self.version = 0  # counts the changes of what is cached where
 
     def record(self, now: int, group: int) -> bool:
-        """Counts a request; returns whether the counts have doubled since they were last used."""
+        """Counts a request; returns whether the requests of this epoch have reached a power of two. Then the
+        groups of all endpoints are due to be computed again."""
         epoch = now // self._epoch_length
         if epoch != self._epoch:
             self._epoch = epoch
@@ -58,8 +61,8 @@
         return is_power_of_two
 
     def traffic_ratio(self, group: int, endpoints: int) -> float:
-        """Returns the group's part of the requests, 0 to 1; reduced where few were seen, by a weight of
-        `endpoints` requests."""
+        """Returns the group's part of the requests, 0 to 1. `endpoints` is added to the number of requests,
+        so that the result is low while few were counted."""
         count = self._counts[group] + self._earlier_counts[group]
         return count / (self._total + self._earlier_total + endpoints)
 
--- a/lotusstream/policy/affinity_sets.py
+++ b/lotusstream/policy/affinity_sets.py
@@ -10,11 +10,12 @@
 from lotusstream.policy.spare_capacity import SpareCapacity
 from lotusstream.policy.state import Request
 
-WARM_GROUPS_PER_ENDPOINT = 4  # table groups that an endpoint keeps cached
-MIN_AFFINITY_SET_SIZE = 2  # endpoints
+WARM_GROUPS_PER_ENDPOINT = 4  # table groups that an endpoint is taken to keep cached
+MIN_AFFINITY_SET_SIZE = 2  # endpoints, if so many are preferred
 AFFINITY_EPOCH_OBJECTIVES = 16  # shortest objectives over which requests are counted by group
 
-AffinitySet = dict[api.EndpointId, None]  # in order; empty where this gateway goes by what it has seen
+# in order of preference; empty where a dominant gateway relies on its own observations (DOMINANT_SHARE)
+AffinitySet = dict[api.EndpointId, None]
 
 
 class AffinitySets:
@@ -70,9 +71,10 @@
         return self._spare_capacity.weighted_draw(seed, request.profile, entry)
 
     def record(self, group: int) -> None:
-        """Counts a request. Weights follow whenever the counts have doubled.
+        """Counts a request, and recomputes weights whenever the counts have doubled.
 
-        Guards restricted endpoints from the first requests on, not only an epoch later.
+        Guards endpoints that restricted profiles need against other work: their weights adapt from the first
+        requests on, not only an epoch later.
         """
         if self._affinity.record(self._context.now, group):
             self.rebalance()
@@ -83,7 +85,7 @@
         self._sets.clear()
 
     def refresh(self) -> None:
-        """Follows the traffic for a few endpoints."""
+        """Computes again what a few endpoints cache; drops the sets if that has changed."""
         if self._context.share >= DOMINANT_SHARE:
             return
         version = self._affinity.version
--- a/lotusstream/policy/attempt_results.py
+++ b/lotusstream/policy/attempt_results.py
@@ -16,9 +16,9 @@
 
 
 class AttemptResults:
-    """Follows the attempts of requests: the next attempt, or the final answer.
+    """Takes in what attempts report; then their request waits for another attempt or is closed.
 
-    The rule: once a request is answered nothing is sent for it. Inputs: the outcomes of its attempts.
+    The rule: once a request is answered no attempt of it starts. Inputs: the outcomes of its attempts.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._timer.plan(self._context.now)
 
     def _on_wait_for_load(self, endpoint: Endpoint, running: RunningAttempt) -> None:
-        """Where this gateway runs no load of the group there, another one does."""
+        """Where this gateway runs no load of the group there, notes one of another gateway."""
         running.attempt.stalled = True
         expected_end = self._context.now + self._context.shortest_objective
         endpoint.loads.setdefault(running.request.group, GroupLoad(None, expected_end))
@@ -85,6 +85,7 @@
         self._continue(request, event)
 
     def _continue(self, request: Request, event: api.AttemptEnded) -> None:
+        """Closes the request, queues it for a retry, or rejects it; while other attempts run it stays."""
         if request.id not in self._open_requests.by_id:
             self._key_ordering.remove(request)
         elif event.request_finished or event.outcome is Outcome.ANSWERED:
--- a/lotusstream/policy/catalog.py
+++ b/lotusstream/policy/catalog.py
@@ -1,4 +1,4 @@
-"""The listed endpoints, indexed so that a change costs its own length and a choice does not visit them all.
+"""The listed endpoints, indexed so that neither a small change of the list nor a choice visits them all.
 
 Nothing is known here of how an endpoint behaves: that is an `Endpoint`'s state, which exists from the first
 attempt on. Each gateway prefers a stable subset of a long list (rendezvous hashing with its own seed), so
@@ -20,12 +20,12 @@
 
 MIN_PREFERRED_ENDPOINTS = 96  # a domain no larger than this is preferred as a whole
 PREFERRED_EVEN_SHARES = 3.0  # preferred endpoints, as a multiple of this gateway's even share of a domain
-REBUILD_DIVISOR = 8  # a domain is rebuilt where more than one in so many of its endpoints change
+REBUILD_DIVISOR = 8  # a domain is rebuilt where more than its size divided by this changes at once
 UNLISTED_RANK = 2.0  # behind all listed endpoints
 
 
 class DomainKey(NamedTuple):
-    """What distinguishes domains; None: not restricted."""
+    """What distinguishes domains; None: not restricted. `cell`: of the tenant, not a deduplication cell."""
 
     zones: frozenset[int] | None
     kinds: frozenset[int] | None
@@ -52,7 +52,7 @@
 
     @property
     def restarted(self) -> bool:
-        """Whether it is listed before and after with different starts."""
+        """Whether it is listed before and after, with different start times."""
         if self.before is None or self.after is None:
             return False
         return self.before.started_at != self.after.started_at
@@ -72,8 +72,8 @@
         return len(self._order)
 
     def _resize(self) -> None:
-        fair = int(PREFERRED_EVEN_SHARES * self._even_share * len(self._order))
-        self.preferred = min(len(self._order), max(MIN_PREFERRED_ENDPOINTS, fair))
+        wanted = int(PREFERRED_EVEN_SHARES * self._even_share * len(self._order))
+        self.preferred = min(len(self._order), max(MIN_PREFERRED_ENDPOINTS, wanted))
 
     def prefers(self, rank: float) -> bool:
         """Returns whether an endpoint of this rank is among the preferred ones."""
@@ -215,7 +215,8 @@
         if not self._endpoints_by_class[endpoint_class]:
             del self._endpoints_by_class[endpoint_class]
             del self.cores_by_class[endpoint_class]
-            self.ready_cores = float(sum(self.cores_by_class.values()))  # rounding errors do not add up
+            # summed anew, so that rounding errors do not add up
+            self.ready_cores = float(sum(self.cores_by_class.values()))
 
     def _fill(self, indexed: _IndexedDomain) -> None:
         ready = api.EndpointStatus.READY
--- a/lotusstream/policy/context.py
+++ b/lotusstream/policy/context.py
@@ -7,10 +7,10 @@
 from lotusstream import interface as api
 
 WINDOW_BUCKET_COUNT = 16  # buckets of a sliding window
-DOMINANT_SHARE = 0.5  # of the traffic: a gateway with so much of it relies on what it sees itself
+DOMINANT_SHARE = 0.5  # of the traffic: a gateway with so much of it relies on its own observations
 EVALUATIONS_PER_OBJECTIVE = 20  # periodic evaluations in the shortest latency objective
 ANSWER_MARGIN_INTERVALS = 2  # evaluation intervals before its deadline at which a request is answered
-REMAINING_AGE_DIVISOR = 4  # an attempt that outlasts its estimate has this part of its age still to go
+REMAINING_AGE_DIVISOR = 4  # an attempt past its expected end is taken to run on for its age / this
 
 
 class RandomDraws:
@@ -34,7 +34,8 @@
 
 
 class DecisionContext:
-    """The state that every part reads; `now` and `actions` are replaced at each event.
+    """The state that every part reads; `now` and `actions` are replaced at each event, and `share` by
+    TrafficShare.
 
     Times are microseconds of the caller's clock.
     """
@@ -54,7 +55,7 @@
         )
         self.answer_margin = ANSWER_MARGIN_INTERVALS * self.evaluation_interval  # microseconds
         self.even_share = 1.0 / started.gateway_count  # of the traffic, were it spread evenly
-        self.share = self.even_share  # of the traffic that comes to this gateway, as estimated
+        self.share = self.even_share  # this gateway's part of the traffic, 0 to 1, as estimated
 
     def cores(self, kind: int) -> float:
         """Returns the cores of an endpoint of this kind; 1 where the kind is unknown."""
--- a/lotusstream/policy/degradation.py
+++ b/lotusstream/policy/degradation.py
@@ -1,15 +1,15 @@
-"""What the level of reduced service in force lets through."""
+"""Which requests and retries the degradation level in force admits."""
 
 from __future__ import annotations
 
 from lotusstream import interface as api
 from lotusstream.policy.state import Request
 
-RANDOM_VALUES = 2**32  # of Request.random_value
+RANDOM_VALUES = 2**32  # number of values that Request.random_value may have
 
 
 class Degradation:
-    """The latest DegradationChanged; everything is let through at full service."""
+    """The latest DegradationChanged; at full service everything is admitted."""
 
     def __init__(self) -> None:
         self._level: api.DegradationChanged | None = None  # None: full service
@@ -21,7 +21,8 @@
     def admits(self, request: Request) -> bool:
         """Returns whether the level admits a new request.
 
-        By the request's own random value: a lower ratio admits none that a higher one would not.
+        Compares the ratio with the request's own random value, so a lower ratio admits no request that a
+        higher one rejects.
         """
         if self._level is None:
             return True
@@ -45,7 +46,7 @@
 
     @property
     def is_reduced(self) -> bool:
-        """Whether a level of reduced service is in force."""
+        """Whether a level other than full service is in force."""
         return self._level is not None
 
     @property
--- a/lotusstream/policy/dispatch.py
+++ b/lotusstream/policy/dispatch.py
@@ -1,7 +1,7 @@
-"""Dispatch: which waiting request is sent next, and its attempt.
+"""Dispatch: which waiting request gets its next attempt first, and the start of that attempt.
 
-Source: Shortest Makespan First (SMF), Towards Optimal Transaction Scheduling: of a few sampled requests the
-one that adds the least stall goes next.
+Source: Shortest Makespan First (SMF), from "Towards Optimal Transaction Scheduling": of a few sampled
+requests the one that adds the least stall goes next. Stall: time behind a load of the request's table group.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 SMF_SAMPLE_SIZE = 5  # requests of which the one that adds the least stall goes next
 PLACEMENTS_PER_BATCH = 24  # a bound on the work of one batch
-HIGHEST_PRIORITY = 3  # of loads: scarce cores go first to what others wait for
-EVALUATIONS_PER_ATTEMPT = 4  # in the latency that is expected of it
+HIGHEST_PRIORITY = 3  # of loads: other requests wait for them
+EVALUATIONS_PER_ATTEMPT = 4  # an attempt is first evaluated after its expected latency / this
 
 
 @dataclass(slots=True)
 class _Batch:
-    """What one dispatch has learnt so far."""
+    """What one call of `dispatch` has done and found so far."""
 
-    placements: int = 0
-    # profiles, by index and cell, whose new requests found no endpoint: within a batch none becomes free
+    placements: int = 0  # placements that were tried
+    # (profile index, cell) of new requests that found no endpoint: in the same batch no other would find one
     exhausted: set[tuple[int, int | None]] = field(default_factory=set)
 
 
@@ -45,7 +45,7 @@
 
 
 class Dispatcher:
-    """Sends waiting requests, in the order of SMF over their soft deadlines."""
+    """Starts attempts of waiting requests, by soft deadline and, within a sample of a few, by SMF."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._key_ordering = key_ordering
         self._retries = retries
         self._degradation = degradation
-        self._postponed: list[int] = []  # ids of requests that the last batch did not come to
+        self._postponed: list[int] = []  # ids of requests that the last batch did not reach
 
     def dispatch(self) -> None:
         """Starts attempts for the waiting requests that may go now.
@@ -85,9 +85,9 @@
         while ready and batch.placements < PLACEMENTS_PER_BATCH:
             sample = [ready.popleft() for _ in range(min(SMF_SAMPLE_SIZE, len(ready)))]
             selection = self._select(sample, batch)
-            if selection is None:  # the sample waits; later requests may find room elsewhere
+            if selection is None:  # the sample waits; later requests may fit elsewhere
                 continue
-            self._send(sample.pop(selection.index), selection.placement.endpoint)
+            self._start_attempt(sample.pop(selection.index), selection.placement.endpoint)
             ready.extendleft(reversed(sample))
         self._postponed = [request.id for request in ready]
         if self._postponed:
@@ -96,8 +96,8 @@
             self._timer.plan(self._context.now + self._context.evaluation_interval)
 
     def _in_order(self) -> deque[Request]:
-        """Returns the requests that may go: those that the last batch did not come to, then by soft
-        deadline."""
+        """Returns the requests that may go: first those that the last batch did not reach, then the others by
+        soft deadline."""
         waiting = self._open_requests.waiting
         postponed = [waiting[request_id] for request_id in self._postponed if request_id in waiting]
         postponed_ids = set(self._postponed)
@@ -123,7 +123,7 @@
                 break
         return best
 
-    def _send(self, request: Request, endpoint: Endpoint) -> None:
+    def _start_attempt(self, request: Request, endpoint: Endpoint) -> None:
         """Starts an attempt, unless it is a retry that the budget does not allow."""
         if request.attempts and not self._retries.take_budget(endpoint):
             return
@@ -155,7 +155,7 @@
         )
 
     def _set_priority(self, request: Request, attempt: Attempt) -> None:
-        """Set once, before the first attempt; loads go first whatever the level of service says."""
+        """Sets it before the first attempt only; loads get the highest one at every degradation level."""
         priority = HIGHEST_PRIORITY if request.profile.is_load else self._degradation.priority(request)
         if priority is not None and self._context.capabilities.priorities and not attempt.number:
             self._context.actions.append(api.SetResources(request.id, 0.0, priority))
--- a/lotusstream/policy/domains.py
+++ b/lotusstream/policy/domains.py
@@ -9,7 +9,7 @@
 
 
 class Domains:
-    """The domains of the catalog's endpoints; they change with the list and with the cells.
+    """The domains of requests: sets of ready endpoints, which change with the list and with the cells.
 
     The rule: a request never runs outside its profile's zones and kinds, nor outside its cell, at any
     attempt, even when all endpoints there are down. Inputs: the profile, the cell's endpoints, the list.
--- a/lotusstream/policy/eligibility.py
+++ b/lotusstream/policy/eligibility.py
@@ -9,7 +9,8 @@
 
 
 class Eligibility:
-    """Asks rules that may exclude an endpoint; RetryPolicy.may_attempt is asked once a request, before."""
+    """Asks the rules that may exclude one endpoint. RetryPolicy.may_attempt, which does not depend on the
+    endpoint, is asked by the placement before."""
 
     def __init__(self, ejection: OutlierEjection, retries: RetryPolicy, slow_start: SlowStart) -> None:
         self._ejection = ejection
--- a/lotusstream/policy/endpoint_evaluation.py
+++ b/lotusstream/policy/endpoint_evaluation.py
@@ -1,4 +1,4 @@
-"""What time alone changes at an endpoint: its silence, and the limit that follows its running attempts."""
+"""What time alone changes at an endpoint: whether it is silent, and its limit while its attempts run on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self._ejection = ejection
 
     def evaluate(self, endpoint: Endpoint) -> None:
-        """Takes in running attempts, ejects an endpoint that is silent, and adapts its limit's factor."""
+        """Takes in the age of running attempts, ejects a silent endpoint, and adapts its limit's factor."""
         self._limits.include_running_attempts(endpoint)
         self._ejection.eject_if_silent(endpoint)
         self._limits.adapt_endpoint(endpoint)
--- a/lotusstream/policy/endpoint_learning.py
+++ b/lotusstream/policy/endpoint_learning.py
@@ -20,7 +20,7 @@
         self._ejection = ejection
 
     def on_attempt_ended(self, endpoint: Endpoint, running: RunningAttempt, event: api.AttemptEnded) -> None:
-        """An attempt has ended, whose outcome is not noted at its request yet."""
+        """Takes in the end of an attempt. To be called before its outcome is set in the request."""
         request = running.request
         attempt = running.attempt
         if endpoint.runs_load(request):
@@ -36,7 +36,8 @@
             self._ejection.on_failure(endpoint, event)
 
     def _is_failure(self, request: Request, attempt: Attempt, outcome: Outcome) -> bool:
-        """Guards endpoints against requests that none can run: an error after another is the request's."""
+        """Whether it counts against the endpoint. Guards endpoints against requests that none can run: the
+        error of a request that has had an error before is taken to be the request's fault."""
         if attempt.cancelled or outcome is Outcome.MOOT:
             return False
         return outcome is not Outcome.ERROR or not request.endpoints_with_error
@@ -63,7 +64,7 @@
         return occupied * min(endpoint.pool.best_ratio, endpoint.latency_ratio) / endpoint.latency_ratio
 
     def learn_latency(self, endpoint: Endpoint, request: Request, latency: int, ideal_latency: float) -> None:
-        """Takes in an attempt's latency beside that on an idle endpoint, both in microseconds."""
+        """Takes in the ratio of an attempt's latency to that on an idle endpoint, both in microseconds."""
         now = self._context.now
         log_ratio = math.log(max(latency, 1) / max(ideal_latency, 1.0))
         endpoint.learn_latency_ratio(now, log_ratio)
--- a/lotusstream/policy/endpoint_list.py
+++ b/lotusstream/policy/endpoint_list.py
@@ -13,10 +13,10 @@
 
 
 class EndpointListUpdates:
-    """Applies each change to all that follows the list.
+    """Passes each change to the parts that depend on the list.
 
-    The rule: nothing is sent to an endpoint that drains or is removed. Such an endpoint leaves the catalog's
-    domains, where placement looks for endpoints, within the event that reports it.
+    The rule: no attempt starts at an endpoint that is draining or removed. Such an endpoint leaves the
+    catalog's domains, where placement looks for endpoints, within the event that reports it.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._affinity_sets = affinity_sets
 
     def on_list_received(self, event: api.EndpointListReceived) -> None:
-        """Applies a list or a change of it; subscribes again where there was none to receive."""
+        """Applies a list or a change of it; where the subscription has ended, subscribes again."""
         if event.kind is EndpointListKind.FAILED:
             self._context.actions.append(api.SetListSubscription(True))
             return
@@ -58,7 +58,7 @@
             pool.cores += self._context.cores(change.after.kind)
 
     def on_cell_endpoints_changed(self, event: api.CellEndpointsChanged) -> None:
-        """Assigns endpoints to a cell."""
+        """Assigns endpoints to a cell, and rebuilds what depends on cells and pools."""
         self._pools.assign(event)
         self._catalog.forget_domains()
         self._states.recount_pools()
--- a/lotusstream/policy/endpoint_states.py
+++ b/lotusstream/policy/endpoint_states.py
@@ -11,7 +11,7 @@
 
 RETRY_CREDIT_INITIAL = 2.0  # retries that an endpoint may get before it has answered
 RETAINED_ENDPOINT_COUNT = 128  # whose state is retained however long they are idle
-IDLE_OBJECTIVES = 8  # shortest objectives without an attempt after which one beyond them is dropped
+IDLE_OBJECTIVES = 8  # shortest objectives without an attempt after which a state beyond them is dropped
 FAILED_IDLE_OBJECTIVES = 64  # the same, for one that has failed or is in slow start
 EVICTIONS_PER_ATTEMPT = 2  # states that are checked at each attempt
 
@@ -31,7 +31,8 @@
         self._pools = pools
         self._slow_start = slow_start
         self.retained: dict[api.EndpointId, Endpoint] = {}
-        self._warm_by_group: dict[int, dict[api.EndpointId, None]] = {}  # endpoints that ran it lately
+        # by table group: endpoints that ran it lately
+        self._warm_by_group: dict[int, dict[api.EndpointId, None]] = {}
 
     def get(self, endpoint_id: api.EndpointId) -> Endpoint:
         """Returns the state of a listed endpoint; where nothing is known, a new one that is not retained."""
@@ -52,7 +53,8 @@
         return list(self._warm_by_group.get(group, ()))
 
     def _new_state(self, entry: api.EndpointEntry) -> Endpoint:
-        """When its slow start windows begin follows from its id: it may be made any number of times."""
+        """Draws no random number, since the offset of its slow start windows is a hash of its id: making the
+        state of the same endpoint again changes no other decision."""
         pool = self._pools.of_endpoint(entry.id)
         cores = self._context.cores(entry.kind)
         endpoint = Endpoint(entry, pool, cores, self._pools.latency_span, RETRY_CREDIT_INITIAL)
@@ -70,7 +72,8 @@
                 return
             oldest = next(iter(self.retained.values()))
             if oldest.running or not self._is_idle(oldest):
-                self.retained[oldest.entry.id] = self.retained.pop(oldest.entry.id)  # checked last again
+                # now the last to be checked
+                self.retained[oldest.entry.id] = self.retained.pop(oldest.entry.id)
             else:
                 self._drop(oldest)
 
@@ -84,7 +87,7 @@
         return self._context.now - endpoint.last_attempt_at > objectives * self._context.shortest_objective
 
     def set_warm(self, endpoint: Endpoint, group: int, max_groups: int) -> None:
-        """A table group runs at an endpoint, which caches at most `max_groups`."""
+        """Notes that a request of a table group runs at an endpoint, which caches at most `max_groups`."""
         evicted = endpoint.warm_group(group, self._context.now, max_groups)
         if evicted is not None:
             self._set_cold(endpoint, evicted)
@@ -129,7 +132,7 @@
     def drop_if_removed(self, endpoint: Endpoint) -> None:
         """Drops the state of a removed endpoint, unless attempts there have no outcome yet.
 
-        Guards the order of a key: its next request waits for those outcomes.
+        Guards the order of requests with one key: the next one waits for those outcomes.
         """
         if endpoint.entry.status is api.EndpointStatus.REMOVED and not endpoint.running:
             self._drop(endpoint)
--- a/lotusstream/policy/estimates.py
+++ b/lotusstream/policy/estimates.py
@@ -8,10 +8,10 @@
 from lotusstream.policy.context import WINDOW_BUCKET_COUNT
 from lotusstream.sliding_window import SlidingWindow
 
-WINDOW_CLIENT_TIMEOUTS = 4  # of the profile: how long what was learnt counts
+WINDOW_CLIENT_TIMEOUTS = 4  # of the profile: for how long an observation counts
 MAX_LEARNT_RATIO = 4  # of the mean: work beyond it is cut off before it is learnt
-HIGH_PRIOR_RATIO = 2  # of the initial work, where an estimate must not be too low
-HIGH_PRIOR_WEIGHT = 4.0  # requests that it counts for
+HIGH_PRIOR_RATIO = 2  # of the initial work: the prior where an estimate must not be too low
+HIGH_PRIOR_WEIGHT = 4.0  # requests that this prior counts as
 INITIAL_WORK_DIVISOR = 2.0  # the work of a profile of which nothing is known takes half of its objective
 
 
@@ -25,8 +25,8 @@
         """`longest_client_timeout`: of all profiles, in microseconds."""
         self.initial_work = profile.latency_objective * profile.threads / INITIAL_WORK_DIVISOR
         span = WINDOW_CLIENT_TIMEOUTS * profile.client_timeout
-        self.work = SlidingWindow(span, WINDOW_BUCKET_COUNT)  # of finished requests
-        self.hints = SlidingWindow(span, WINDOW_BUCKET_COUNT)  # of finished requests
+        self.work = SlidingWindow(span, WINDOW_BUCKET_COUNT)  # of answered requests, thread microseconds
+        self.hints = SlidingWindow(span, WINDOW_BUCKET_COUNT)  # of the same requests
         self.latency_ratios = SlidingWindow(span, WINDOW_BUCKET_COUNT)  # logarithms
         # the work asked for, over one span for all profiles, since they are compared with one another
         self.requested_work = SlidingWindow(
@@ -42,7 +42,8 @@
         return self.work.mean(now, HIGH_PRIOR_RATIO * self.initial_work, HIGH_PRIOR_WEIGHT)
 
     def learn(self, now: int, work: float, hint: int | None) -> None:
-        """Takes in the work of a finished request; a runaway one says little of the usual and is cut off."""
+        """Takes in the work of an answered request. Cut off at a multiple of the mean: a runaway request says
+        little of the usual ones."""
         mean = self.mean_work(now)
         self.work.add(now, min(work, MAX_LEARNT_RATIO * mean))
         if hint:
--- a/lotusstream/policy/evaluation.py
+++ b/lotusstream/policy/evaluation.py
@@ -14,8 +14,8 @@
 from lotusstream.policy.rejection import Rejection
 from lotusstream.policy.state import Pool, Request
 
-BEST_RATIO_GROWTH = 1.001  # of a pool's best ratio an evaluation, so that it follows lasting changes
-EVALUATIONS_PER_AGE = 4  # an attempt is reconsidered when it is older by this part of its age
+BEST_RATIO_GROWTH = 1.001  # of a pool's best ratio at each evaluation, so that it follows lasting changes
+EVALUATIONS_PER_AGE = 4  # an attempt is reconsidered after its age / this
 
 
 class PeriodicEvaluation:
@@ -42,7 +42,7 @@
         self._overdue_attempts = overdue_attempts
 
     def evaluate(self) -> None:
-        """Evaluates all of it and plans the next time."""
+        """Evaluates pools, then open requests, and plans the next evaluation."""
         for pool in self._pools.by_name.values():
             self._evaluate_pool(pool)
         for request in list(self._open_requests.by_id.values()):
@@ -74,7 +74,8 @@
     def _is_hopeless(self, request: Request) -> bool:
         """Whether a waiting request would end too late even if it were sent now.
 
-        Late answers pay only where there is room, so an overloaded pool goes by the soft deadline.
+        Answers after the soft deadline are worth capacity only where it is not scarce: in an overloaded pool
+        the soft deadline counts, otherwise the deadline.
         """
         if request.id not in self._open_requests.waiting:
             return False
--- a/lotusstream/policy/evaluation_timer.py
+++ b/lotusstream/policy/evaluation_timer.py
@@ -7,12 +7,12 @@
 
 
 class EvaluationTimer:
-    """One deadline, the earliest of all that were planned, and the timer that stands for it."""
+    """The earliest of all planned evaluations, and the timer that is set for it."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self._next_at: int | None = None  # the earliest planned evaluation
-        self._armed_for: int | None = None  # the latest timer that has not fired
+        self._armed_for: int | None = None  # time of the latest timer, until it fires; its token is the same
 
     def plan(self, at: int) -> None:
         """Plans an evaluation, in microseconds of the clock; an earlier one stays."""
--- a/lotusstream/policy/gateway.py
+++ b/lotusstream/policy/gateway.py
@@ -1,15 +1,16 @@
 """The decisions of one gateway, as a table of contents: which event is handled by which part.
 
 A caller makes one Gateway and passes it every event, in order, with the time; `handle` returns the actions to
-carry out, in order. The first event is GatewayStarted. BatchEnded follows the last event of a moment, and
-waiting requests are sent then. Events and actions: lotusstream/interface/.
+carry out, in order. The first event is GatewayStarted. BatchEnded follows the last event of a batch, and only
+then attempts of waiting requests start. Events and actions: lotusstream/interface/. This `Gateway` is the
+decision module; the program around it is `lotusstream/net/gateway.py`.
 
 The seven rules that no decision may break, and the module that keeps each:
 
 1. No request is lost: each gets one answer before its deadline, and no attempt after it (admission,
    evaluation, attempt_results).
-2. No effect happens twice (retries).
-3. Nothing is sent to an endpoint that drains or is removed (endpoint_list).
+2. No request that is not idempotent is executed twice (retries).
+3. No attempt starts at an endpoint that is draining or removed (endpoint_list).
 4. No endpoint in slow start is overloaded by all gateways together (slow_start).
 5. Requests with one key run in order, one at a time (key_ordering).
 6. A restricted request runs in its zones, kinds and cell only (domains).
@@ -70,7 +71,7 @@
         return self.context.actions
 
     def _build_parts(self, started: api.GatewayStarted) -> None:
-        """Builds all parts; each gets the ones that it asks."""
+        """Builds all parts; each is given the parts that it calls."""
         self.context = DecisionContext(started)
         self.timer = EvaluationTimer(self.context)
         self._build_registries()
@@ -80,7 +81,7 @@
         self._handlers = self._event_handlers()
 
     def _build_registries(self) -> None:
-        """What is listed and what is known."""
+        """Builds the parts that hold the endpoint list and what is known of endpoints."""
         context = self.context
         self.catalog = Catalog(context.random.seed, context.even_share, context.cores)
         self.pools = Pools(context)
@@ -95,7 +96,7 @@
         )
 
     def _build_rules(self) -> None:
-        """What may be done."""
+        """Builds the rules and limits that the other parts ask."""
         context = self.context
         self.limits = ConcurrencyLimits(context, self.endpoint_states)
         self.key_ordering = KeyOrdering(context)
@@ -109,7 +110,7 @@
         self.endpoint_evaluation = EndpointEvaluation(self.limits, self.outlier_ejection)
 
     def _build_placement(self) -> None:
-        """Where and when attempts start."""
+        """Builds what decides where and when attempts start."""
         self.placement = PlacementPolicy(
             self.context,
             self.domains,
@@ -135,7 +136,7 @@
         )
 
     def _build_steps(self) -> None:
-        """What events bring about."""
+        """Builds the parts that handle events about requests, attempts and time."""
         context = self.context
         states = self.endpoint_states
         self.admission = Admission(
--- a/lotusstream/policy/key_ordering.py
+++ b/lotusstream/policy/key_ordering.py
@@ -10,11 +10,11 @@
 
 
 class KeyOrdering:
-    """Decides whose turn it is for a key.
+    """Decides which request with a key may run next.
 
     The rule: of the requests with one key, the earliest runs alone, and after an attempt that may still be
-    running the key is quarantined for `RuleLimits.key_quarantine` microseconds, since an endpoint may go on
-    with it. Inputs: the order of arrival and the outcomes of attempts.
+    running the key is quarantined for `RuleLimits.key_quarantine` microseconds, since an endpoint may still
+    execute that attempt. Inputs: the order of arrival and the outcomes of attempts.
     """
 
     def __init__(self, context: DecisionContext) -> None:
--- a/lotusstream/policy/limits.py
+++ b/lotusstream/policy/limits.py
@@ -15,13 +15,13 @@
 from lotusstream.policy.state import Endpoint, Pool
 
 ENOUGH_ANSWERS = 16  # that make a latency ratio reliable
-ENDPOINT_PRIOR_WEIGHT = ENOUGH_ANSWERS / 4  # answers that the pool's ratio counts for an endpoint's
-POOL_PRIOR_WEIGHT = ENOUGH_ANSWERS / 8  # answers that a ratio of 1 counts for a pool's
+ENDPOINT_PRIOR_WEIGHT = ENOUGH_ANSWERS / 4  # answers that the pool's ratio counts as in an endpoint's
+POOL_PRIOR_WEIGHT = ENOUGH_ANSWERS / 8  # answers that a ratio of 1 counts as in a pool's
 MIN_LIMIT_FACTOR = 1.0  # threads a core
 OVERLOADED_RATIO = 2.0  # of a latency ratio over the best: overloaded
 NEAR_BEST_RATIO = 1.5  # of a latency ratio over the best: a limit may grow below it
-OVERLOADED_CORES_RATIO = 0.1  # of a pool's cores, overloaded, at which the limits of all bind
-RUNAWAY_RATIO = 5.0  # expected latencies after which an attempt says no more of its endpoint
+OVERLOADED_CORES_RATIO = 0.1  # of a pool's cores: if more are overloaded, the limits of all bind
+RUNAWAY_RATIO = 5.0  # ideal or usual latencies after which an attempt's age says no more of its endpoint
 
 
 class ConcurrencyLimits:
@@ -46,7 +46,7 @@
         pool.limit_per_core = self._context.share * factor
 
     def _compute_sums(self, pool: Pool) -> None:
-        """Endpoints that are not active count by their cores."""
+        """Computes the pool's sums; endpoints that are not active count by their cores. Empties `changed`."""
         pool.changed.clear()
         inactive_cores = max(0.0, pool.cores - pool.sums.cores)
         overloaded_cores = pool.sums.overloaded_cores + (inactive_cores if pool.latency_overloaded else 0.0)
@@ -95,7 +95,7 @@
         self._adapt(endpoint, endpoint.latency_ratio, endpoint.pool)
 
     def adapt_pool(self, pool: Pool) -> None:
-        """Adapts the factor of the limits of a pool's endpoints of which nothing is known."""
+        """Adapts the factor that limits those endpoints of a pool of which nothing is known."""
         self._adapt(pool, pool.baseline_ratio, pool)
 
     def _adapt(self, limited: Endpoint | Pool, latency_ratio: float, pool: Pool) -> None:
@@ -110,8 +110,8 @@
     def include_running_attempts(self, endpoint: Endpoint) -> None:
         """Updates the latency ratios that an endpoint's running attempts show, at their present age.
 
-        Guards against an endpoint so crowded, or so full of stalled attempts, that none ends: it would show
-        no latency at all and go on looking idle.
+        Guards against an endpoint so crowded, or with so many stalled attempts, that none ends: no latency
+        would be learnt from it, and it would count as idle.
         """
         baseline = endpoint.pool.baseline_ratio
         endpoint.overdue_ratio = baseline
@@ -119,32 +119,33 @@
         if not endpoint.running:
             return
         now = self._context.now
-        ratios: list[float] = []
-        unstalled_ratios: list[float] = []
+        weighted_ratios: list[float] = []  # of latency, times threads
+        unstalled_ratios: list[float] = []  # of these, the ones of attempts that are not stalled
         for running in endpoint.running.values():
             attempt = running.attempt
             age = min(RUNAWAY_RATIO * attempt.ideal_latency, now - attempt.started_at)
-            ratio = age / attempt.ideal_latency * running.request.profile.threads
-            ratios.append(ratio)
+            weighted_ratio = age / attempt.ideal_latency * running.request.profile.threads
+            weighted_ratios.append(weighted_ratio)
             if not attempt.stalled:
-                unstalled_ratios.append(ratio)
+                unstalled_ratios.append(weighted_ratio)
         prior = endpoint.cores * baseline
         weight = endpoint.threads + endpoint.cores
         endpoint.overdue_ratio = (sum(unstalled_ratios) + prior) / weight
-        endpoint.stalled_ratio = (sum(ratios) + prior) / weight
+        endpoint.stalled_ratio = (sum(weighted_ratios) + prior) / weight
 
 
 def fits(threads: int, endpoint: Endpoint) -> bool:
     """Returns whether an attempt with so many threads may be added to an endpoint.
 
-    An endpoint that is not overloaded yet is limited too while others are: guards against all that those
-    cannot take being sent to it at once.
+    An endpoint that is not overloaded yet is limited too while its pool is: guards it against being sent at
+    once all the work that the overloaded ones cannot take.
     """
     pool = endpoint.pool
     limit = endpoint.concurrency_limit
     if not (endpoint.overloaded or pool.overloaded) or endpoint.threads + threads <= limit:
         return True
-    # then the endpoints of the pool share their limits, and one attempt may run where none does
+    # where a limit is less than one attempt, the endpoints of the pool share their limits, and an attempt may
+    # run where none does
     below_one_attempt = limit < threads
     if below_one_attempt and not pool.threads:
         return True
--- a/lotusstream/policy/open_requests.py
+++ b/lotusstream/policy/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests without a final answer, and how they end."""
+"""The requests that the decision module owes a final answer, and how they are closed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 
 class OpenRequests:
-    """`by_id`: the requests without a final answer. `waiting`: those of them that wait for an attempt."""
+    """`by_id`: the requests without a final answer. `waiting`: those of them that are queued for their next
+    attempt. The clients' side of open requests is `lotusstream/net/open_requests.py`."""
 
     def __init__(self, context: DecisionContext, key_ordering: KeyOrdering) -> None:
         self._context = context
@@ -18,13 +19,13 @@
         self.waiting: dict[int, Request] = {}
 
     def add(self, request: Request) -> None:
-        """A request has come, and waits for its first attempt."""
+        """Adds a request, which waits for its first attempt."""
         self.by_id[request.id] = request
         self.waiting[request.id] = request
         self._key_ordering.enqueue(request)
 
     def close(self, request: Request) -> None:
-        """The request needs no further answer; what still runs of it is cancelled."""
+        """Closes a request that needs no further answer; its running attempts are cancelled."""
         self.by_id.pop(request.id, None)
         self.waiting.pop(request.id, None)
         for attempt in request.running_attempts:
--- a/lotusstream/policy/outlier_ejection.py
+++ b/lotusstream/policy/outlier_ejection.py
@@ -8,10 +8,10 @@
 from lotusstream.policy.state import Endpoint
 
 EJECTION_FAILURES = 3  # in a row
-MAX_EJECTION_OBJECTIVES = 4  # shortest objectives, times 0.5 to 1.5
+MAX_EJECTION_OBJECTIVES = 4  # shortest objectives, times a random factor from 0.5 to 1.5
 OVERDUE_RATIO = 3.0  # expected latencies after which an attempt is overdue
-MAX_REPORTED_EJECTION_OBJECTIVES = 20  # shortest objectives for which peers may prolong an ejection
-SILENT_PROGRESS_INTERVALS = 2  # without any report, after which an endpoint may be silent
+MAX_REPORTED_EJECTION_OBJECTIVES = 20  # shortest objectives from its start that peers may prolong one to
+SILENT_PROGRESS_INTERVALS = 2  # progress intervals without a report after which it may count as silent
 
 
 class OutlierEjection:
@@ -30,8 +30,8 @@
     def on_failure(self, endpoint: Endpoint, event: api.AttemptEnded) -> None:
         """An attempt has failed. Its endpoint is ejected after several in a row.
 
-        A refused connection, where nothing else was heard of the endpoint lately, says as much as several
-        failures. An endpoint that answered has not restarted, so what it runs goes on.
+        A refused connection counts as several failures, unless the endpoint has responded lately. Where the
+        endpoint responded, the failure is no sign of a restart, so the endpoint does not become unresponsive.
         """
         endpoint.unresponsive = endpoint.unresponsive or not event.endpoint_responded
         silence = self._context.now - endpoint.last_response_at
@@ -43,7 +43,7 @@
     def eject(self, endpoint: Endpoint) -> None:
         """Ejects an endpoint, longer with each further failure.
 
-        The time is drawn: guards the endpoint against trial requests of all gateways in one moment.
+        The duration is random: guards the endpoint against trial requests of all gateways at the same time.
         """
         ejected_for_silence = endpoint.consecutive_failures < EJECTION_FAILURES
         endpoint.unresponsive = endpoint.unresponsive or ejected_for_silence
@@ -54,7 +54,7 @@
         endpoint.ejected_until = self._context.now + int(duration)
 
     def end(self, endpoint: Endpoint) -> None:
-        """An endpoint has answered: it is no outlier any more."""
+        """Ends the ejection of an endpoint that has answered, and forgets its failures."""
         endpoint.consecutive_failures = 0
         endpoint.ejected_until = None
         endpoint.unresponsive = False
@@ -65,7 +65,8 @@
             self.eject(endpoint)
 
     def _is_silent(self, endpoint: Endpoint) -> bool:
-        """Several overdue attempts and no response: more than a pause, slowness or one runaway request."""
+        """Whether attempts are overdue and the endpoint has not responded for longer than a pause. Where it
+        reports no progress several have to be overdue, since one may be a runaway request."""
         now = self._context.now
         progress_interval = self._context.settings.progress_interval
         overdue = sum(
@@ -80,9 +81,9 @@
     def on_peer_health_reported(self, event: api.PeerHealthReported) -> None:
         """Takes in another gateway's report, which ejects no endpoint.
 
-        A healthy one ends the ejection, at a drawn time within an objective: guards an endpoint that has come
-        back against trial requests of all gateways in one moment. A failing one spares trial requests, up to
-        a bound.
+        A healthy one ends the ejection, at a random time within an objective: guards an endpoint that has
+        come back against trial requests of all gateways at the same time. A failing one prolongs the
+        ejection, up to a bound, so that no trial request is spent on it.
         """
         endpoint = self._states.retained.get(event.endpoint_id)
         if endpoint is None or not endpoint.ejected_until:
--- a/lotusstream/policy/overdue_attempts.py
+++ b/lotusstream/policy/overdue_attempts.py
@@ -12,7 +12,7 @@
 from lotusstream.policy.retries import RetryPolicy
 from lotusstream.policy.state import Attempt, Request
 
-RETRY_LATENCIES = 2  # usual latencies that a retry needs to end in time
+RETRY_LATENCIES = 2  # usual latencies that a retry is given to end
 
 
 class OverdueAttempts:
@@ -33,7 +33,7 @@
         self._open_requests = open_requests
 
     def reconsider(self, request: Request) -> None:
-        """Cancels the request's latest running attempt, if another one may follow and promises more."""
+        """Cancels the request's latest running attempt, if a retry may follow and should end sooner."""
         attempt = request.running_attempts[-1]
         if attempt.cancelled or not self._context.capabilities.cancellation:
             return
@@ -80,14 +80,15 @@
         return max(attempt.expected_end - now, age / REMAINING_AGE_DIVISOR)
 
     def _total(self, attempt: Attempt) -> float:
-        """Returns how long it runs in all, in microseconds; 0 where progress is yet to be reported."""
+        """Returns how long the attempt is expected to run in all, in microseconds; 0 where it is not known
+        yet, since its first progress report is still to come."""
         age = self._context.now - attempt.started_at
         if attempt.progress_reported:
             return age + self._remaining(attempt)
         return 0 if self._context.settings.progress_interval else age
 
     def _learn_runaway(self, request: Request, attempt: Attempt) -> None:
-        """Takes in what the attempt would have taken: by its age it would look like a short one."""
+        """Learns the latency that the attempt would have had, which is longer than its age when cancelled."""
         age = self._context.now - attempt.started_at
         ideal_latency = request.work / request.profile.threads
         latency = max(age, min(self._total(attempt), RUNAWAY_RATIO * ideal_latency))
--- a/lotusstream/policy/overload.py
+++ b/lotusstream/policy/overload.py
@@ -2,8 +2,7 @@
 
 Source: controlled delay (CoDel, RFC 8289): a queue whose delay stays above a target for a whole interval is
 a standing queue, and one that falls below the target in between is a burst. While a queue stands, requests
-that have waited longer than the target are rejected at once: those behind them are decided in time, and what
-has been waiting longest would be decided too late.
+that have waited longer than the target are rejected at once, so that those behind them are decided in time.
 """
 
 from __future__ import annotations
@@ -13,7 +12,8 @@
 
 
 class QueueDelay:
-    """Fed with the delay of each request when it is decided. `overloaded`: a queue stands."""
+    """Takes in the queue delay of each request. `overloaded`: there is a standing queue, so this gateway is
+    overloaded; that of an endpoint or pool is another matter (limits)."""
 
     def __init__(self) -> None:
         self.overloaded = False
--- a/lotusstream/policy/placement.py
+++ b/lotusstream/policy/placement.py
@@ -1,8 +1,9 @@
 """Placement: the endpoint at which a request's next attempt starts.
 
-The attempt goes where it adds the least stall, its own or that of others. Of endpoints that add the same the
-least crowded, fastest and warmest one is taken, and a draw decides the rest. Source: Shortest Makespan First
-(SMF), Towards Optimal Transaction Scheduling.
+The attempt goes where it adds the least stall (time behind a load of its table group), its own or that of
+others. Of endpoints that add the same, the one with the least cost (crowding, slowness, table group not
+cached) is taken, and a draw by hash breaks ties. Source: Shortest Makespan First (SMF), from "Towards Optimal
+Transaction Scheduling".
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 
 FULL_SCAN_ENDPOINTS = 40  # domains no larger than this are compared as a whole
 SAMPLED_ENDPOINTS = 10  # drawn from the preferred ones of a larger domain
-WARM_SAMPLED_ENDPOINTS = 8  # and those that have the table group cached
-WIDENED_SAMPLE_ENDPOINTS = 48  # drawn from the whole domain, where none of these fits
-WARM_WORK_RATIO = 0.75  # work that is left to a request whose table group is cached
+WARM_SAMPLED_ENDPOINTS = 8  # and, besides, at most so many that have the table group cached
+WIDENED_SAMPLE_ENDPOINTS = 48  # drawn from the whole domain, where none of these may take the request
+WARM_WORK_RATIO = 0.75  # work of a request whose table group is cached, over its work otherwise
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +44,7 @@
 class _Candidate:
     endpoint: Endpoint
     added_stall: float  # microseconds
-    cost: float  # crowding, slowness and coldness, as a factor of the least possible
+    cost: float  # see PlacementPolicy._cost; a factor without unit
 
 
 class PlacementPolicy:
@@ -86,14 +87,15 @@
         found = self._best_of(request, affinity_set, sampled)
         if found is not None:
             return found
-        rejected_count = len(sampled)
+        unusable_count = len(sampled)
         self._sample(domain, len(domain), WIDENED_SAMPLE_ENDPOINTS, sampled)
-        return self._best_of(request, affinity_set, [*sampled][rejected_count:])
+        return self._best_of(request, affinity_set, [*sampled][unusable_count:])
 
     def _sample_warm(
         self, request: Request, domain: Domain, affinity_set: AffinitySet
     ) -> list[api.EndpointId]:
-        """Returns some endpoints that have the request's group cached, as agreed or as seen here."""
+        """Returns some endpoints that have the request's group cached: by its affinity set, or without one
+        those where this gateway ran it lately."""
         if affinity_set:
             warm = [*affinity_set]
         else:
@@ -128,16 +130,17 @@
             cost = self._cost(request, endpoint, affinity_set)
             candidates.append(_Candidate(endpoint, self.added_stall(request, endpoint), cost))
         least_stall = min([candidate.added_stall for candidate in candidates])
-        least = [candidate for candidate in candidates if candidate.added_stall == least_stall]
-        least_cost = min([candidate.cost for candidate in least])
-        equal = [candidate.endpoint for candidate in least if candidate.cost == least_cost]
+        least_stalled = [candidate for candidate in candidates if candidate.added_stall == least_stall]
+        least_cost = min([candidate.cost for candidate in least_stalled])
+        equal = [candidate.endpoint for candidate in least_stalled if candidate.cost == least_cost]
         if len(equal) == 1:
             return Placement(equal[0], least_stall)
         draws = [self._tie_break(request, endpoint, affinity_set) for endpoint in equal]
         return Placement(equal[draws.index(min(draws))], least_stall)
 
     def _usable(self, request: Request, endpoint_ids: Iterable[api.EndpointId]) -> list[Endpoint]:
-        """Returns the endpoints that have room for the request and may take it."""
+        """Returns the endpoints that have capacity for the request and may take it. Evaluates those whose
+        limit is out of date."""
         threads = request.profile.threads
         outdated = self._context.now - self._context.evaluation_interval
         usable = []
@@ -151,8 +154,9 @@
     def _cost(self, request: Request, endpoint: Endpoint, affinity_set: AffinitySet) -> float:
         """Returns the cost of an endpoint: its crowding times its slowness, less where the group is cached.
 
-        A dominant gateway counts the request's own threads, and slow start as a part of the room. Others do
-        neither: guards wide endpoints against all gateways, which would all find them least crowded.
+        A dominant gateway adds the request's own threads, and reduces capacity in slow start. Others do
+        neither: guards endpoints with many cores against all gateways, which would all find them least
+        crowded.
         """
         pool = endpoint.pool
         if self._context.share >= DOMINANT_SHARE:
@@ -165,7 +169,8 @@
         return max(1.0, crowding) * slowness * (WARM_WORK_RATIO if is_warm else 1.0)
 
     def _tie_break(self, request: Request, endpoint: Endpoint, affinity_set: AffinitySet) -> float:
-        """Returns the least for the endpoint that ran the group last; a draw where sets are agreed."""
+        """Returns a value of which the least wins. Where there is no affinity set, the endpoint that ran the
+        group last wins; otherwise a weighted draw by hash decides."""
         if not affinity_set and request.group in endpoint.warm_groups:
             return -float(endpoint.warm_groups[request.group])
         draw = self._spare_capacity.weighted_draw(request.random_value, request.profile, endpoint.entry)
@@ -185,6 +190,7 @@
         return stall
 
     def _stall_behind_load(self, request: Request, endpoint: Endpoint) -> float:
+        """Returns the stall in microseconds; drops another gateway's load whose expected end has passed."""
         load = endpoint.loads.get(request.group)
         if load is None:
             return 0.0
@@ -201,7 +207,7 @@
             running.request.group == request.group and running.request.profile.waits_for_loads
             for running in endpoint.running.values()
         )
-        others_read = self._context.share < DOMINANT_SHARE and endpoint.entry.id in (
+        is_read_elsewhere = self._context.share < DOMINANT_SHARE and endpoint.entry.id in (
             self._affinity_sets.of_request(request)
         )
-        return readers + others_read
+        return readers + is_read_elsewhere
--- a/lotusstream/policy/pools.py
+++ b/lotusstream/policy/pools.py
@@ -1,4 +1,4 @@
-"""Pools of endpoints that share limits and latency statistics, and the cells of which they consist.
+"""Pools of endpoints that share limits and latency statistics, and the tenants' cells that make up each.
 
 Guards the tenants of one cell against overload that those of another cause.
 """
@@ -10,7 +10,7 @@
 from lotusstream.policy.estimates import ProfileEstimates
 from lotusstream.policy.state import Pool
 
-MAX_LIMIT_FACTOR = 2.0  # threads a core, the most that a concurrency limit allows
+MAX_LIMIT_FACTOR = 2.0  # threads a core of all gateways, the most that a concurrency limit allows
 LATENCY_WINDOW_OBJECTIVES = 8  # shortest latency objectives for which a latency counts
 
 PoolName = int | None  # None: the pool of endpoints outside all cells
@@ -24,7 +24,7 @@
         self.latency_span = LATENCY_WINDOW_OBJECTIVES * context.shortest_objective  # microseconds
         self.by_name: dict[PoolName, Pool] = {None: self._new_pool()}
         self._cells: dict[int, api.CellEndpointsChanged] = {}  # the latest event of each
-        self._name_by_endpoint: dict[api.EndpointId, int] = {}
+        self._name_by_endpoint: dict[api.EndpointId, int] = {}  # name of its pool
 
     def _new_pool(self) -> Pool:
         profiles = self._context.settings.profiles
--- a/lotusstream/policy/rejection.py
+++ b/lotusstream/policy/rejection.py
@@ -26,7 +26,7 @@
         self._open_requests = open_requests
 
     def reject(self, request: Request, reason: api.RejectionReason) -> None:
-        """Gives a request its final answer, and cancels what still runs of it."""
+        """Rejects or fails a request, which is its final answer, and cancels its running attempts."""
         retry_after = self._retry_after()
         action: api.Action
         if self._retries.is_repeat_harmless(request, retry_after):
@@ -40,7 +40,8 @@
     def _retry_after(self) -> int:
         """Returns the Retry-After, in microseconds.
 
-        Drawn while service is reduced: guards against all clients that were rejected returning at once.
+        A random part, at least half, of the longest one while service is reduced: guards against all rejected
+        clients repeating at the same time.
         """
         longest = self._context.capabilities.max_retry_after
         if not self._degradation.is_reduced:
--- a/lotusstream/policy/retries.py
+++ b/lotusstream/policy/retries.py
@@ -10,11 +10,11 @@
 
 RETRY_CREDIT_MAX = 10.0  # retries that an endpoint may save up
 RETRY_CREDIT_PER_ANSWER = 0.2  # retries that an answer earns its endpoint
-MAX_ENDPOINTS_WITH_ERROR = 1  # an error of a second endpoint is the request's own
+MAX_ENDPOINTS_WITH_ERROR = 1  # after errors of more endpoints, the request is taken to be at fault
 
 
 class RetryPolicy:
-    """Decides whether and where a request is sent again.
+    """Decides whether and where a request may have a retry.
 
     The rules: no request that is not idempotent is executed twice; one with an idempotency key is repeated
     only where, and as long as, endpoints drop the repeat; the retries in a window stay within a budget.
@@ -36,7 +36,8 @@
     def may_attempt(self, request: Request) -> bool:
         """Returns whether a request may have another attempt at all, wherever that is.
 
-        Guards all endpoints against a request that none can run: it is not sent on after two errors.
+        Guards all endpoints against a request that none can run: after errors of two endpoints it has no
+        further attempt.
         """
         if len(request.attempts) >= self._context.capabilities.max_attempts:
             return False
@@ -55,7 +56,8 @@
                 return self.is_deduplicated(request, 0)
 
     def is_deduplicated(self, request: Request, delay: int) -> bool:
-        """Returns whether endpoints drop a repeat sent in `delay` microseconds, even if it connects late."""
+        """Returns whether endpoints drop a repeat that starts `delay` microseconds from now, even if
+        connecting takes as long as it may."""
         executions = request.possible_executions
         if not executions:
             return True
@@ -89,7 +91,8 @@
         return profile.idempotency is Idempotency.IDEMPOTENT or dropped or not request.possible_executions
 
     def take_budget(self, endpoint: Endpoint) -> bool:
-        """Takes a retry from the budget and the endpoint's credit; returns whether the budget had one."""
+        """Takes a retry from the budget and from the endpoint's credit; returns False, and takes nothing,
+        where the budget is used up."""
         now = self._context.now
         limits = self._context.rule_limits
         requests = self._requests.count(now, covering=False)
--- a/lotusstream/policy/slow_start.py
+++ b/lotusstream/policy/slow_start.py
@@ -11,17 +11,18 @@
 from lotusstream.rendezvous import MASK_32_BITS, unit_hash
 from lotusstream.sliding_window import SlidingWindow
 
-CAPACITY_MARGIN_RATIO = 0.6  # of the listed cores: busy share of the cores, slow machines, chance
-# part of a window that admits: if all gateways turn to an endpoint in one moment, what they send stays within
-# 0.6 * 1.75 of the budget
+# of the work that the rules allow: a margin for cores in use, slow machines and chance
+CAPACITY_MARGIN_RATIO = 0.6
+# part of a window in which its draw admits: if all gateways begin to use an endpoint at the same time, what
+# they send in a window stays within 0.6 * 1.75 of what the rules allow
 ADMITTING_WINDOW_RATIO = 0.75
-MAX_REPORTED_AGE_US = 60_000_000  # that a start may have when the list first reports it
+MAX_REPORTED_AGE_US = 60_000_000  # age that a start may have when the list first reports it
 
 
 class SlowStart:
     """Decides what an endpoint in slow start is sent.
 
-    The rule: an endpoint that starts has a part of its capacity only, and falls over if all gateways together
+    The rule: an endpoint that starts has only a part of its capacity, and fails if all gateways together
     send it more than a multiple of that within a window. Inputs: the start that the list reports (in
     microseconds), the figures of RuleLimits, and this gateway's even share of the traffic.
     """
@@ -33,9 +34,9 @@
     def on_entry_changed(self, change: EntryChange, *, first_list: bool) -> None:
         """Checks the start that the list reports against this gateway's clock.
 
-        Guards slow start against a wall clock that is wrong: an endpoint that has just started would look
-        warm, or would stay in slow start for as long as the clock is off. A start that is listed as new, and
-        that this clock puts in the future or long ago, counts from when it was reported.
+        Guards slow start against a wall clock that is wrong: an endpoint that has just started would count as
+        past its slow start, or would stay in slow start for as long as the clock is off. A start that is
+        listed as new, and that this clock puts in the future or long ago, counts from when it was reported.
         """
         entry = change.after
         if entry is not None and change.before is not None and not change.restarted:
@@ -66,17 +67,18 @@
         return since is not None and self._context.now < since + self._context.rule_limits.slow_start_duration
 
     def capacity_ratio(self, endpoint: Endpoint) -> float:
-        """Returns the part of the requests, or of its room, that an endpoint gets in comparisons, 0 to 1."""
+        """Returns the part of its capacity, 0 to 1, that an endpoint has in comparisons of endpoints."""
         return self._context.rule_limits.slow_start_initial_ratio if self.is_active(endpoint) else 1.0
 
     def admits(self, endpoint: Endpoint, work: float) -> bool:
         """Returns whether an endpoint may be sent so much work now; always where it is not in slow start.
 
-        Guards an endpoint that has just started against the sum of all gateways, also where all turn to it at
-        one time, or have just restarted and do not know what they sent. Where this gateway's part of a window
-        is less than the request, it draws for each window whether it may send one. Windows begin at another
-        time for each gateway, and the sum keeps to the budget on average. Nothing is saved up, and a draw
-        holds for a part of its window: what is sent at one time adds no more than that part to a window.
+        Guards an endpoint that has just started against the sum of all gateways' work, also where all begin
+        to use it at the same time, or have just restarted and do not know what they sent. Where this
+        gateway's part of a window is less than the request, it draws for each window whether it may send one.
+        Windows begin at another time for each gateway, and on average the sum stays within the budget. Unused
+        budget is not carried over to the next window, and a draw admits in a part of its window only, which
+        bounds what two neighbouring windows add to any span of one window.
         """
         if not self.is_active(endpoint):
             return True
--- a/lotusstream/policy/snapshot.py
+++ b/lotusstream/policy/snapshot.py
@@ -1,4 +1,4 @@
-"""What the module believes, as operators are shown it."""
+"""Builds the view of the decision module's state that operators are shown."""
 
 from __future__ import annotations
 
--- a/lotusstream/policy/spare_capacity.py
+++ b/lotusstream/policy/spare_capacity.py
@@ -1,7 +1,7 @@
 """How much of each class of endpoints is left to requests that may run anywhere.
 
-Guards endpoints that some profile is restricted to against work that could go elsewhere: what an unrestricted
-request sees of an endpoint is what the restricted ones are expected to leave.
+Guards endpoints that some profile is restricted to against work that could go elsewhere: for an unrestricted
+request an endpoint weighs only as many cores as the restricted ones are expected to leave.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from lotusstream.policy.pools import Pools
 from lotusstream.rendezvous import unit_hash
 
-MIN_SPARE_RATIO = 0.1  # of an endpoint's cores that unrestricted requests always see
+MIN_SPARE_RATIO = 0.1  # of an endpoint's cores that it always weighs for unrestricted requests
 
 
 class SpareCapacity:
--- a/lotusstream/policy/state.py
+++ b/lotusstream/policy/state.py
@@ -26,7 +26,7 @@
     expected_latency: float  # microseconds, as its endpoint behaves
     number: int  # among the attempts of its request, from 0
     expected_end: float  # time at which it is expected to end
-    stalled: bool = False  # it waits behind a load, so its latency says nothing of its endpoint
+    stalled: bool = False  # it waits behind a load of its group: its latency says nothing of its endpoint
     progress_reported: bool = False  # expected_end follows from a progress report
     outcome: api.Outcome | None = None  # None while it runs
     cancelled: bool = False  # by this gateway
@@ -51,14 +51,14 @@
     profile: api.Profile
     group: int  # table group
     key: int | None  # requests with this key run one after the other; None: not ordered
-    work_hint: int | None
-    work: float  # expected
+    work_hint: int | None  # the client's estimate of the work; None: not given
+    work: float  # expected, see ProfileEstimates.estimate
     typical_work: float  # of its profile, estimated on the high side
-    soft_deadline: int
-    deadline: int
+    soft_deadline: int  # until when an answer is worth most
+    deadline: int  # by which it has its final answer
     random_value: int  # 32 bits, drawn once: breaks ties and decides on partial admission
     pool: Pool  # of the endpoints that it may run at
-    cell: int | None = None  # it may run in this cell only; None: anywhere
+    cell: int | None = None  # of its tenant: it may run in this cell only; None: anywhere
     attempts: list[Attempt] = field(default_factory=list)
     runaway_count: int = 0  # attempts that were cancelled since they took far too long
     executions_elsewhere: list[api.ExecutedElsewhere] = field(default_factory=list)  # by other gateways
@@ -115,17 +115,18 @@
         """`latency_span`: microseconds that latencies count. `limit_factor`: the initial one."""
         self.estimates = estimates  # by profile
         self.latency_ratios = SlidingWindow(latency_span, WINDOW_BUCKET_COUNT)  # logarithms
-        self.threads = 0  # of this gateway's attempts there
+        self.threads = 0  # that this gateway's attempts occupy there
         self.cores = 0.0  # of its ready endpoints
         self.limit_factor = limit_factor  # threads a core at endpoints of which nothing is known
         self.limit_adjusted_at = 0
-        self.overloaded = False  # enough of its cores are, so the limits of all endpoints bind
+        self.overloaded = False  # enough of its cores are overloaded, so the limits of all endpoints bind
         self.baseline_ratio = 1.0  # recent latency ratio of all its endpoints, at least 1
         self.best_ratio = math.inf  # least baseline ratio, which rises slowly
         self.free_capacity = 0.0  # threads that this gateway may add
         self.peer_threads_per_core = 0.0  # threads of other gateways, as estimated
-        self.latency_overloaded = False  # its baseline is, and with it endpoints of which nothing is known
-        self.limit_per_core = 0.0  # threads of this gateway a core, at such endpoints
+        # its baseline ratio is well above the best: endpoints of which nothing is known count as overloaded
+        self.latency_overloaded = False
+        self.limit_per_core = 0.0  # threads of this gateway a core, at endpoints of which nothing is known
         self.active: dict[Endpoint, ActiveSums] = {}
         self.changed: dict[Endpoint, None] = {}  # since their limits were last computed
         self.sums = ActiveSums(0.0, 0.0, 0.0)  # of the active ones
@@ -136,7 +137,7 @@
         return max(1.0, min(self.best_ratio, self.baseline_ratio))
 
     def set_active(self, endpoint: Endpoint) -> None:
-        """Adds an endpoint to the active ones, or takes in how it has changed."""
+        """Adds an endpoint to the active ones, or replaces what it contributes to the sums."""
         sums = ActiveSums(
             endpoint.cores, endpoint.cores if endpoint.overloaded else 0.0, endpoint.concurrency_limit
         )
@@ -223,7 +224,7 @@
         self.entry = entry
         self.pool = pool
         self.cores = cores
-        self.threads = 0  # of this gateway's attempts there
+        self.threads = 0  # that this gateway's attempts occupy there
         self.running: dict[int, RunningAttempt] = {}  # by attempt_key
         self.loads: dict[int, GroupLoad] = {}  # by table group
         self.warm_groups: dict[int, int] = {}  # table group: when it last ran here; the oldest first
@@ -233,16 +234,19 @@
         self._latency_span = latency_span
         self.latency_ratios: SlidingWindow | None = None  # logarithms; None until the first answer
         self.latency_ratio = pool.baseline_ratio  # recent latency over what the work would take alone
-        self.overdue_ratio = pool.baseline_ratio  # that running attempts already show, stalled ones left out
-        self.stalled_ratio = pool.baseline_ratio  # with those that wait behind loads: they hold memory
+        # latency ratios that running attempts already show by their age: without the stalled ones, and with
+        # them, since an attempt that waits behind a load still holds memory
+        self.overdue_ratio = pool.baseline_ratio
+        self.stalled_ratio = pool.baseline_ratio
         self.overloaded = pool.latency_overloaded
         self.limit_factor = pool.limit_factor  # threads a core
         self.concurrency_limit = cores * pool.limit_per_core  # threads of this gateway
         self.limit_computed_at = -1  # -1: never
-        self.limit_adjusted_at = -1
+        self.limit_adjusted_at = -1  # when limit_factor was last adapted; -1: never
         self.rejected_at: int | None = None  # when it last rejected an attempt as full
         self.consecutive_failures = 0
-        self.unresponsive = False  # some of these failures were no answer of the endpoint itself
+        # at some of these failures it had not responded, or it was ejected as silent
+        self.unresponsive = False
         self.ejected_at = 0
         self.ejected_until: int | None = None  # None: not ejected
         self.slow_start_since: int | None = None  # None: not in slow start
@@ -263,7 +267,7 @@
         self.pool.changed[self] = None
 
     def add_attempt(self, request: Request, attempt: Attempt) -> None:
-        """An attempt starts."""
+        """Takes in an attempt that starts here, also at its request, pool and slow start."""
         request.attempts.append(attempt)
         if not self.running:
             self.last_response_at = attempt.started_at
@@ -277,7 +281,7 @@
             self.slow_start_work.add(attempt.started_at, request.typical_work)
 
     def remove_attempt(self, request_id: int, number: int) -> RunningAttempt | None:
-        """An attempt has its outcome; returns it, or None if it is not running here."""
+        """Removes an attempt that has its outcome and returns it; None if it is not running here."""
         running = self.running.pop(attempt_key(request_id, number), None)
         if running is not None:
             self.threads -= running.request.profile.threads
@@ -286,7 +290,7 @@
         return running
 
     def warm_group(self, group: int, now: int, max_groups: int) -> int | None:
-        """The group runs here now. Returns the group that is cached no more, if one is evicted."""
+        """Notes that the group runs here now. Returns the group that is evicted from the cache, if any."""
         self.warm_groups.pop(group, None)
         self.warm_groups[group] = now
         if len(self.warm_groups) <= max_groups:
--- a/lotusstream/policy/traffic_share.py
+++ b/lotusstream/policy/traffic_share.py
@@ -1,4 +1,4 @@
-"""Which part of the traffic comes to this gateway, learnt by asking endpoints what all gateways run there."""
+"""Which part of the traffic this gateway gets, estimated from what endpoints run for all gateways."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 HEALTH_CHECK_REQUESTS = 10  # requests between two health checks
 WINDOW_OBJECTIVES = 4  # shortest objectives for which a health check counts
-EVEN_SHARE_WEIGHT = 10  # attempts in flight that an even share counts as
-MIN_EVEN_SHARE_DIVISOR = 2  # the share is taken for at least an even one divided by this
+EVEN_SHARE_WEIGHT = 10  # attempts in flight that the prior, an even share, counts as
+MIN_EVEN_SHARE_DIVISOR = 2  # the estimate is at least an even share divided by this
 
 
 class TrafficShare:
@@ -32,7 +32,7 @@
         self._load_is_reported = context.capabilities.health_checks and context.settings.reports_in_flight
 
     def on_request_received(self) -> None:
-        """Starts a health check at every tenth request, at one endpoint after the other."""
+        """Starts a health check every HEALTH_CHECK_REQUESTS requests, at one endpoint after the other."""
         self._requests_since_check += 1
         if self._requests_since_check < HEALTH_CHECK_REQUESTS or not self._load_is_reported:
             return
