--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -22,13 +22,13 @@
 from lotusstream.copies.messages import IdempotencyRecord, Operation, OperationLogRecord, RecordState
 from lotusstream.copies.replica_events import PersistLogRecords
 from lotusstream.copies.shards import DEFAULT_SHARD_COUNT, shard_of
-from lotusstream.lab.fleet.clients import Customers, Told
+from lotusstream.lab.fleet.clients import FleetClients, Told
 from lotusstream.lab.fleet.idempotency_client import Keeping
 from lotusstream.lab.fleet.rig import FleetRig, Gateway
 from lotusstream.lab.fleet.run import KEEPS, QUICK
 from lotusstream.lab.fleet.run import SHARDS as SHARDS_THERE
 from lotusstream.lab.replication.world import play
-from lotusstream.lab.world import Broken
+from lotusstream.lab.world import InvariantViolationError
 from lotusstream.net.replica_store import ReplicaStore
 
 SIDE_BY_SIDE = 3  # fleets at once, of five gateways each
@@ -41,7 +41,7 @@
         try:
             judge = play(seed)
             promises, lost = promises + judge.promises, lost + judge.lost_machines
-        except Broken as error:
+        except InvariantViolationError as error:
             failed.append(str(error))
     return promises, lost, failed
 
@@ -56,7 +56,7 @@
     lost, spans = 0, list[float]()
     async with FleetRig(5, 3, seed=seed, tasks=("copies",), directives=KEEPS, holders=True, engines=4) as rig:
         await rig.whole(SHARDS_THERE)
-        async with Customers(rig, 3, seed) as customers:
+        async with FleetClients(rig, 3, seed) as customers:
             while lost < count:
                 rows = await rig.whole(SHARDS_THERE)
                 names = [row["home"] for row in rows.values()]
@@ -100,7 +100,7 @@
         5, 3, seed=5, tasks=("copies",), directives=(*QUICK, *how), holders=True, engines=4
     ) as rig:
         await rig.whole(SHARDS_THERE)
-        async with Customers(rig, 4, 5, profile="load") as customers:
+        async with FleetClients(rig, 4, 5, profile="load") as customers:
             await asyncio.sleep(span)
         found = sorted(customers.told.latencies)
         return {
@@ -126,7 +126,7 @@
         began = time.monotonic()
         await asyncio.gather(*(fill() for _ in range(256)))
         filling = time.monotonic() - began
-        async with Customers(rig, 4, 9, profile="load") as customers:
+        async with FleetClients(rig, 4, 9, profile="load") as customers:
             await asyncio.sleep(5)
             before = customers.told.answered / 5
             lost = next(name for name in rig.names if name not in rig.keepers)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -23,7 +23,7 @@
 from lotusstream.lab.fleet.run import play as play_on_processes
 from lotusstream.lab.fleet.schedule import drawn, write
 from lotusstream.lab.virtual import Scene, play
-from lotusstream.lab.world import Broken
+from lotusstream.lab.world import InvariantViolationError
 from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.table import AcquireLease, encode_operation
 from lotusstream.net.actor import Supervisor
@@ -41,7 +41,7 @@
         scene = replace(Scene(), quorum_size=(3, 4, 5)[seed % 3], tasks=("moves", "examine"))
         try:
             grants += play(seed, scene).grants
-        except Broken as error:
+        except InvariantViolationError as error:
             failed.append(str(error))
     return grants, failed
 
--- a/benchmarks/planted_copies.py
+++ b/benchmarks/planted_copies.py
@@ -20,7 +20,7 @@
 from lotusstream.copies.shards import shard_of
 from lotusstream.lab.replication.scenario import ReplicationScenario
 from lotusstream.lab.replication.world import ReplicationWorld, play
-from lotusstream.lab.world import Broken
+from lotusstream.lab.world import InvariantViolationError
 
 SCENE = ReplicationScenario()
 
@@ -223,7 +223,7 @@
         for seed in range(seeds):
             try:
                 play(seed, planted.scene)
-            except Broken as error:
+            except InvariantViolationError as error:
                 if "though all" not in str(error) and "hardly" not in str(error):
                     return seed, str(error)
             except (AssertionError, ValueError, IndexError, KeyError) as error:
--- a/benchmarks/planted_leases.py
+++ b/benchmarks/planted_leases.py
@@ -10,7 +10,7 @@
 
 from lotusstream.lab import virtual
 from lotusstream.lab.virtual import Scene, play
-from lotusstream.lab.world import Broken
+from lotusstream.lab.world import InvariantViolationError
 from lotusstream.leases import holder, table
 from lotusstream.leases.expiry import LeaseExpiryTracker, LeaseTiming
 from lotusstream.quorum import events as ev
@@ -199,7 +199,7 @@
         for seed in range(seeds):
             try:
                 play(seed, planted.scene)
-            except Broken as error:
+            except InvariantViolationError as error:
                 return seed, str(error)
             except (AssertionError, ValueError, IndexError) as error:
                 return seed, f"seed {seed}: {type(error).__name__}"
--- a/benchmarks/planted_rollout.py
+++ b/benchmarks/planted_rollout.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lotusstream.lab.rollout import ChangeScene, Defect, play
-from lotusstream.lab.world import Broken, S
+from lotusstream.lab.world import InvariantViolationError, S
 from lotusstream.rollout import rollout as ro
 from lotusstream.rollout.judge import Bet, Judge
 from lotusstream.rollout.rollout import Rollout
@@ -90,7 +90,7 @@
         for seed in range(seeds):
             try:
                 told = play(seed, planted.scene)
-            except Broken as error:
+            except InvariantViolationError as error:
                 return seed, str(error)
             if told.phase is not planted.ends:
                 return seed, f"seed {seed}: {told.phase.value}, {told.why}"
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -18,7 +18,7 @@
 
 from benchmarks.planted_rollout import PLANTED, caught
 from lotusstream.lab.rollout import BAD, PLAN, ChangeScene, Defect, play
-from lotusstream.lab.world import Broken, S
+from lotusstream.lab.world import InvariantViolationError, S
 from lotusstream.rollout.rollout import Phase
 
 POWER = (0.01, 0.015, 0.02, 0.03, 0.05)
@@ -31,7 +31,7 @@
     kind, seed, scene = told
     try:
         played = play(seed, scene)
-    except Broken as error:
+    except InvariantViolationError as error:
         return kind, "broken", str(error), 0.0, 0.0
     return kind, played.phase.value, played.why, played.took / S, played.harmed
 
--- a/lotusstream/cli/fleet.py
+++ b/lotusstream/cli/fleet.py
@@ -9,7 +9,7 @@
 
 from lotusstream.lab.fleet import run as playing
 from lotusstream.lab.fleet.rig import FleetRig
-from lotusstream.lab.fleet.schedule import KINDS, UnusableSchedule, drawn, read, write
+from lotusstream.lab.fleet.schedule import KINDS, ScheduleError, drawn, read, write
 
 
 @click.group()
@@ -33,7 +33,7 @@
         raise click.UsageError("name a schedule, or give --seed")
     try:
         told = read(schedule.read_text(encoding="utf-8")) if schedule else drawn(seed or 0)
-    except UnusableSchedule as error:
+    except ScheduleError as error:
         raise click.UsageError(f"{schedule}: {error}") from error
     outcome = playing.run(told, click.echo)
     if outcome.kept:
--- a/lotusstream/lab/exhaustive.py
+++ b/lotusstream/lab/exhaustive.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from lotusstream.lab.world import Broken
+from lotusstream.lab.world import InvariantViolationError
 from lotusstream.quorum import events as ev
 from lotusstream.quorum import messages as ms
 from lotusstream.quorum.node import RaftNode
@@ -87,7 +87,7 @@
                 world: World = pickle.loads(frozen)
                 try:
                     self._apply_step(world, step)
-                except Broken as error:
+                except InvariantViolationError as error:
                     return SearchResult(len(seen), False, f"{error}; after {', '.join(world.trail)}")
                 mark = self._fingerprint(world)
                 if mark in seen:
@@ -165,9 +165,9 @@
                 case ev.ApplyEntry(index, kind, data, _):
                     told = bytes([kind]) + data
                     if world.applied.setdefault(index, told) != told:
-                        raise Broken(f"{node.name} applied something else at {index}")
+                        raise InvariantViolationError(f"{node.name} applied something else at {index}")
         if node.role == Role.LEADER and world.leaders.setdefault(node.term, node.name) != node.name:
-            raise Broken(f"term {node.term} has two leaders")
+            raise InvariantViolationError(f"term {node.term} has two leaders")
 
     @staticmethod
     def _fingerprint(world: World) -> bytes:
--- a/lotusstream/lab/fleet/clients.py
+++ b/lotusstream/lab/fleet/clients.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from lotusstream.lab.fleet.rig import FleetRig
-from lotusstream.lab.stand_ins import Failed
+from lotusstream.lab.stand_ins import RequestFailedError
 
 GIVES = 3.0  # seconds, for one try
 PAUSE = 0.05
@@ -31,8 +31,8 @@
     latencies: list[float] = field(default_factory=list)
 
 
-class Customers:
-    """`async with Customers(rig, 8)`: they ask until it is left."""
+class FleetClients:
+    """`async with FleetClients(rig, 8)`: they ask until it is left."""
 
     def __init__(self, rig: FleetRig, count: int, seed: int, profile: str = "") -> None:
         """`profile`: of all commands; otherwise of every kind that something is promised about."""
@@ -42,7 +42,7 @@
         self._marks = 0
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> Customers:
+    async def __aenter__(self) -> FleetClients:
         self._tasks = [asyncio.create_task(self._go_on()) for _ in range(self._count)]
         return self
 
@@ -108,7 +108,7 @@
                     await asyncio.wait((closed, answer), return_when=asyncio.FIRST_COMPLETED)
                     if answer.done():
                         return answer.result()[0]
-                except Failed as error:
+                except RequestFailedError as error:
                     return error.kind
                 finally:
                     closed.cancel()
--- a/lotusstream/lab/fleet/rig.py
+++ b/lotusstream/lab/fleet/rig.py
@@ -20,14 +20,14 @@
 from lotusstream.lab.fleet.history_checker import Witness
 from lotusstream.lab.fleet.process import CLOCK, OK, WITNESS
 from lotusstream.lab.fleet.relay import Manner, Relay
-from lotusstream.lab.stand_ins import CountingEngine, Effects, StandInBoard, StandInClient
+from lotusstream.lab.stand_ins import CountingEndpoint, Effects, StandInClient, StandInDiscovery
 from lotusstream.protocol import control as wire
 
 READY_WITHIN = 20.0  # seconds
 LATEST = 400  # lines of a process that are kept
 
 
-class Lost(Exception):
+class GatewayLostError(Exception):
     """A process did not do what it was started for; its last lines are told."""
 
 
@@ -190,9 +190,9 @@
             async with asyncio.timeout(READY_WITHIN):
                 await self._ready.wait()
         except TimeoutError as error:
-            raise Lost(f"{self.name} did not come up: {self.lines[-5:]}") from error
+            raise GatewayLostError(f"{self.name} did not come up: {self.lines[-5:]}") from error
         if self.process is None or self.process.returncode is not None or not self.port:
-            raise Lost(f"{self.name} ended at its start: {self.lines[-5:]}")
+            raise GatewayLostError(f"{self.name} ended at its start: {self.lines[-5:]}")
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -248,7 +248,7 @@
         shutil.copytree(kept, self.store)
 
     async def ask(self, request: wire.Asking) -> Any:
-        """By its control socket. Raises Lost with the refusal."""
+        """By its control socket. Raises GatewayLostError with the refusal."""
         reader, writer = await asyncio.open_unix_connection(str(self.socket))
         try:
             writer.write(wire.encode_request(request))
@@ -258,7 +258,7 @@
         finally:
             writer.transport.abort()
         if reply.refused is not None:
-            raise Lost(f"{self.name}: {reply.refused.why}")
+            raise GatewayLostError(f"{self.name}: {reply.refused.why}")
         return reply.told
 
 
@@ -290,9 +290,10 @@
         self.relays: dict[tuple[str, str], Relay] = {}
         self.ports: dict[str, int] = {}
         self.witness = Witness()
-        self.board, self.nobody, self.effects = StandInBoard(), 0, Effects()
+        self.board, self.nobody, self.effects = StandInDiscovery(), 0, Effects()
         self.engines = [
-            CountingEngine(f"e-{at}", ZONES[at % len(ZONES)], self.effects, DROPPED) for at in range(engines)
+            CountingEndpoint(f"e-{at}", ZONES[at % len(ZONES)], self.effects, DROPPED)
+            for at in range(engines)
         ]
         self.story: list[str] = []
         self._ports: list[socket.socket] = []
@@ -402,7 +403,9 @@
         itself: a machine may be lost. By shard, what its home tells."""
         async with asyncio.timeout(within):
             while True:
-                with contextlib.suppress(Lost, OSError, asyncio.IncompleteReadError, TimeoutError):
+                with contextlib.suppress(
+                    GatewayLostError, OSError, asyncio.IncompleteReadError, TimeoutError
+                ):
                     if (found := await self._whole(shards, copies)) is not None:
                         return found
                 await asyncio.sleep(0.05)
@@ -442,7 +445,7 @@
         """Asked again and again, until the answer is as wanted."""
         async with asyncio.timeout(within):
             while True:
-                with contextlib.suppress(Lost, OSError, asyncio.IncompleteReadError):
+                with contextlib.suppress(GatewayLostError, OSError, asyncio.IncompleteReadError):
                     told = await self.gateways[of].ask(request)
                     if wanted(told):
                         return told
--- a/lotusstream/lab/fleet/run.py
+++ b/lotusstream/lab/fleet/run.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lotusstream.lab.fleet.clients import Customers, Told
+from lotusstream.lab.fleet.clients import FleetClients, Told
 from lotusstream.lab.fleet.history_checker import Verdict, judge
 from lotusstream.lab.fleet.process import FAILING, FULL, OK, WITNESS
 from lotusstream.lab.fleet.relay import Manner
-from lotusstream.lab.fleet.rig import FleetRig, Gateway, Lost
+from lotusstream.lab.fleet.rig import FleetRig, Gateway, GatewayLostError
 from lotusstream.lab.fleet.schedule import Fault, Schedule, smaller
 from lotusstream.operator.units import write_time
 from lotusstream.protocol.control import Copies
@@ -68,7 +68,7 @@
         """Of most shards, as the gateways say."""
         counts = dict.fromkeys(self._rig.names, 0)
         for name, gateway in self._rig.gateways.items():
-            with contextlib.suppress(OSError, Lost, TimeoutError, asyncio.IncompleteReadError):
+            with contextlib.suppress(OSError, GatewayLostError, TimeoutError, asyncio.IncompleteReadError):
                 if gateway.up and not gateway.stopped:
                     shards = (await gateway.ask(Copies()))["shards"]
                     counts[name] = sum(row["home"] == name for row in shards)
@@ -209,7 +209,7 @@
                 await rig.witness.acting()
             if schedule.customers:
                 await rig.whole(SHARDS)
-            customers = Customers(rig, schedule.customers, schedule.seed)
+            customers = FleetClients(rig, schedule.customers, schedule.seed)
             async with customers:
                 await Player(rig, schedule).play()
                 began = asyncio.get_running_loop().time()
@@ -225,7 +225,7 @@
                 failures += _broken_promises(rig, told)
         except TimeoutError:
             failures.append(f"nobody acted for {AFTERWARDS} s")
-        except Lost as error:
+        except GatewayLostError as error:
             failures.append(str(error))
         for name, gateway in rig.gateways.items():
             failures += [
--- a/lotusstream/lab/fleet/schedule.py
+++ b/lotusstream/lab/fleet/schedule.py
@@ -47,7 +47,7 @@
 SPANS = {"lasts": SECOND, "at": 0}
 
 
-class UnusableSchedule(Exception):
+class ScheduleError(Exception):
     """Where, what is wrong, and what would do."""
 
 
@@ -78,26 +78,26 @@
     try:
         return parse_time(str(told))
     except UnknownUnitError as error:
-        raise UnusableSchedule(f"{where}: {error}") from error
+        raise ScheduleError(f"{where}: {error}") from error
 
 
 def _whole(told: Mapping[str, Any], name: str, least: int, most: int, plain: int) -> int:
     value = told.get(name, plain)
     if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise UnusableSchedule(f"{name}: found {value!r}; a whole number from {least} to {most} would do")
+        raise ScheduleError(f"{name}: found {value!r}; a whole number from {least} to {most} would do")
     return value
 
 
 def read(text: str) -> Schedule:
-    """Raises UnusableSchedule."""
+    """Raises ScheduleError."""
     try:
         told = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise UnusableSchedule(str(error)) from error
+        raise ScheduleError(str(error)) from error
     for name in told:
         known = ["gateways", "keepers", "seed", "lasts", "customers", "fault"]
         if name not in known:
-            raise UnusableSchedule(f"nothing is called '{name}': {nearest(name, known)}")
+            raise ScheduleError(f"nothing is called '{name}': {nearest(name, known)}")
     gateways = _whole(told, "gateways", 3, 300, 5)
     keepers = _whole(told, "keepers", 3, min(7, gateways), 3)
     faults = tuple(_fault(at, each, gateways) for at, each in enumerate(told.get("fault", []), 1))
@@ -109,17 +109,17 @@
 def _fault(number: int, told: Any, gateways: int) -> Fault:
     where = f"fault {number}"
     if not isinstance(told, dict):
-        raise UnusableSchedule(f"{where}: write [[fault]] and its lines below")
+        raise ScheduleError(f"{where}: write [[fault]] and its lines below")
     for name in told:
         if name not in ("at", "kind", "on", "lasts"):
             hint = nearest(name, ["at", "kind", "on", "lasts"])
-            raise UnusableSchedule(f"{where}: nothing is called '{name}': {hint}")
+            raise ScheduleError(f"{where}: nothing is called '{name}': {hint}")
     kind, on = told.get("kind", ""), told.get("on", "any")
     if kind not in KINDS:
-        raise UnusableSchedule(f"{where}: no fault is called '{kind}': {nearest(str(kind), KINDS)}")
+        raise ScheduleError(f"{where}: no fault is called '{kind}': {nearest(str(kind), KINDS)}")
     names = [f"g{at}" for at in range(1, gateways + 1)]
     if on not in ON and on not in names:
-        raise UnusableSchedule(f"{where}: nobody is called '{on}': {nearest(str(on), [*ON, *names[:9]])}")
+        raise ScheduleError(f"{where}: nobody is called '{on}': {nearest(str(on), [*ON, *names[:9]])}")
     spans = {
         name: _time(told.get(name, write_time(plain) if plain else "0s"), where)
         for name, plain in SPANS.items()
--- a/lotusstream/lab/scale/checker.py
+++ b/lotusstream/lab/scale/checker.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class BrokenRule:
     """A rule that was broken, by which request, and how."""
 
     rule: str
@@ -33,29 +33,29 @@
     drain_grace: float = 2.0
 
 
-def broken_rules(history: History) -> list[Broken]:
+def broken_rules(history: History) -> list[BrokenRule]:
     """All that the history shows to be broken, request by request."""
     attempts = defaultdict(list)
     for attempt in history.attempts:
         attempts[attempt.call].append(attempt)
-    found: list[Broken] = []
+    found: list[BrokenRule] = []
     for outcome in history.outcomes:
         found += _broken_by(outcome, attempts[outcome.call])
     found += _sent_to_withdrawn(history)
     return found
 
 
-def count_by_rule(found: list[Broken]) -> dict[str, int]:
+def count_by_rule(found: list[BrokenRule]) -> dict[str, int]:
     return dict(Counter(each.rule for each in found))
 
 
-def _broken_by(outcome: Outcome, attempts: list[Attempt]) -> list[Broken]:
-    found: list[Broken] = []
+def _broken_by(outcome: Outcome, attempts: list[Attempt]) -> list[BrokenRule]:
+    found: list[BrokenRule] = []
     ends_at = outcome.sent_at + outcome.time_out
     if outcome.left_at is None and not outcome.in_time:
         seen = ", ".join(f"{each.server} +{each.at - outcome.sent_at:.3f}" for each in attempts)
         found.append(
-            Broken(
+            BrokenRule(
                 "lost",
                 outcome.call,
                 f"no final answer in {outcome.time_out} s; seen at {seen or 'no server'}",
@@ -66,22 +66,24 @@
         late = attempt.at - over_at if over_at is not None else 0.0
         if late > LEAVE_SLACK:
             text = f"attempt at {attempt.server} {late:.3f} s after the end"
-            found.append(Broken("lost", outcome.call, text))
+            found.append(BrokenRule("lost", outcome.call, text))
         past = attempt.at + attempt.time_out - ends_at
         if past > DEADLINE_SLACK:
-            found.append(Broken("deadline", outcome.call, f"{attempt.server} told {past:.3f} s too much"))
+            found.append(BrokenRule("deadline", outcome.call, f"{attempt.server} told {past:.3f} s too much"))
     if len(attempts) > 1 and outcome.profile not in REPEATABLE:
-        found.append(Broken("duplicate", outcome.call, f"{len(attempts)} attempts of {outcome.profile}"))
+        found.append(BrokenRule("duplicate", outcome.call, f"{len(attempts)} attempts of {outcome.profile}"))
     return found
 
 
-def _sent_to_withdrawn(history: History) -> list[Broken]:
-    found: list[Broken] = []
+def _sent_to_withdrawn(history: History) -> list[BrokenRule]:
+    found: list[BrokenRule] = []
     for attempt in history.attempts:
         told_at = history.withdrawn.get(attempt.server)
         if told_at is None:
             continue
         late = attempt.at - told_at
         if late > history.drain_grace + SLACK:
-            found.append(Broken("drain", attempt.call, f"{attempt.server} {late:.3f} s after it was listed"))
+            found.append(
+                BrokenRule("drain", attempt.call, f"{attempt.server} {late:.3f} s after it was listed")
+            )
     return found
--- a/lotusstream/lab/scale/load.py
+++ b/lotusstream/lab/scale/load.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass
 
-from lotusstream.lab.stand_ins import Failed, StandInClient
+from lotusstream.lab.stand_ins import RequestFailedError, StandInClient
 
 ANSWER_SLACK = 0.5  # seconds after a request's time in which an answer still counts as one
 MOST_OPEN = 24  # of a connection's 32
@@ -81,7 +81,7 @@
             async with asyncio.timeout(self._time_out / 3 if leaves else self._time_out + 4 * ANSWER_SLACK):
                 await client.answer(seqid)
             outcome.answer = "answered"
-        except Failed as error:
+        except RequestFailedError as error:
             outcome.answer = error.kind
         except TimeoutError:
             if leaves:
--- a/lotusstream/lab/scale/process.py
+++ b/lotusstream/lab/scale/process.py
@@ -18,7 +18,7 @@
 PROGRAM = ("lotusstream",)
 
 
-class NotStarted(Exception):
+class NotStartedError(Exception):
     """The gateway ended before it listened; the text holds its lines."""
 
 
@@ -58,7 +58,7 @@
         self.path.write_text(json.dumps(configuration))
 
     async def start(self) -> None:
-        """Raises NotStarted, or TimeoutError where it does not listen in time."""
+        """Raises NotStartedError, or TimeoutError where it does not listen in time."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             *("-O", "-m", *self._program, "serve", "--config", str(self.path)),
@@ -75,7 +75,7 @@
             self.lines.append(line)
             if found := re.search(r"listening on 127\.0\.0\.1:(\d+)", line):
                 return int(found[1])
-        raise NotStarted("\n".join(self.lines))
+        raise NotStartedError("\n".join(self.lines))
 
     async def _read_lines(self) -> None:
         assert self._process is not None and self._process.stderr is not None
--- a/lotusstream/lab/scale/rig.py
+++ b/lotusstream/lab/scale/rig.py
@@ -11,7 +11,7 @@
 from lotusstream.lab.scale.load import Load
 from lotusstream.lab.scale.process import PROGRAM, GatewayProcess, Usage
 from lotusstream.lab.scale.servers import Server, ServerFleet
-from lotusstream.lab.stand_ins import StandInBoard
+from lotusstream.lab.stand_ins import StandInDiscovery
 
 MS, S = 1_000, 1_000_000
 DRAIN_GRACE = 2.0  # seconds
@@ -34,7 +34,7 @@
     planted: str | None = None  # of lab/scale/planted.py
 
 
-class CountingBoard(StandInBoard):
+class CountingDiscovery(StandInDiscovery):
     """Discovery that counts the bytes of lists that it has told."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
         self.fleet = ServerFleet(plan.cores, plan.work)
-        self.board = CountingBoard()
+        self.board = CountingDiscovery()
         self.withdrawn: dict[str, float] = {}
         planted = plan.planted
         program = PROGRAM if planted is None else ("lotusstream.lab.scale.planted", planted)
--- a/lotusstream/lab/soak/clients.py
+++ b/lotusstream/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Customers of one gateway: they keep their connections for as long as these hold, and send a request that
+"""Clients of one gateway: they keep their connections for as long as these hold, and send a request that
 crosses the end of one again, once, as the protocol asks."""
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from lotusstream.lab.scale.load import ANSWER_SLACK, Outcome
 from lotusstream.lab.soak.plan import RequestClass
-from lotusstream.lab.stand_ins import Failed, StandInClient
+from lotusstream.lab.stand_ins import RequestFailedError, StandInClient
 
 CONNECTIONS = 6
 CROSSED = 0.05  # seconds before the end of a connection in which a request may have crossed it
@@ -20,7 +20,7 @@
 CALL_IDS = itertools.count(1)
 
 
-class Customers:
+class SoakClients:
     """`leaves`: the part of requests that are given up after a third of their time."""
 
     def __init__(
@@ -123,7 +123,7 @@
         error = answer.exception()
         if error is None:
             outcome.answer = "answered"
-        elif isinstance(error, Failed):
+        elif isinstance(error, RequestFailedError):
             outcome.answer = error.kind
 
     async def _client(self) -> StandInClient | None:
--- a/lotusstream/lab/soak/run.py
+++ b/lotusstream/lab/soak/run.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lotusstream.lab.scale.checker import Broken
+from lotusstream.lab.scale.checker import BrokenRule
 from lotusstream.lab.scale.process import PROGRAM, GatewayProcess
 from lotusstream.lab.scale.servers import Server, ServerFleet
-from lotusstream.lab.soak.clients import Customers
+from lotusstream.lab.soak.clients import SoakClients
 from lotusstream.lab.soak.judge import ColdStart, SoakHistory, judge
 from lotusstream.lab.soak.plan import Fault, FaultKind, SoakPlan
-from lotusstream.lab.stand_ins import StandInBoard
+from lotusstream.lab.stand_ins import StandInDiscovery
 
 MS, S = 1_000, 1_000_000
 DRAIN_GRACE, WARM_UP, OVERLOAD_FOR = 2.0, 10.0, 1.0
@@ -34,7 +34,7 @@
 
     name: str
     process: GatewayProcess
-    customers: Customers
+    customers: SoakClients
     folder: Path
     listen: int = 0  # the port that its configuration names
     busy: bool = False  # a signal series or a restart is under way
@@ -45,7 +45,7 @@
     seed: int
     requests: int
     served: int
-    broken: list[Broken]
+    broken: list[BrokenRule]
     crashes: list[str]
     history: SoakHistory
 
@@ -61,13 +61,13 @@
         self.plan, self._folder, self._planted = plan, folder, planted
         self._random = random.Random(plan.seed + 1)
         self._fleet = ServerFleet(plan.cores, plan.work)
-        self._board = StandInBoard()
-        self._old_boards: list[StandInBoard] = []
-        self._boards_down: set[StandInBoard] = set()
+        self._board = StandInDiscovery()
+        self._old_boards: list[StandInDiscovery] = []
+        self._boards_down: set[StandInDiscovery] = set()
         self._gateways: list[GatewayUnderTest] = []
         self._history = SoakHistory({each.name: each for each in plan.classes}, drain_grace=DRAIN_GRACE)
         self._crashes: list[str] = []
-        self._past: list[Customers] = []
+        self._past: list[SoakClients] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._crowd: list[asyncio.StreamWriter] = []
         self._told_from = 0.0  # what discovery holds counts as told from then on
@@ -110,9 +110,9 @@
             return PROGRAM
         return ("lotusstream.lab.soak.shim", str(self.plan.clock_off))
 
-    def _customers(self, name: str, port: int) -> Customers:
+    def _customers(self, name: str, port: int) -> SoakClients:
         plan, seed = self.plan, self._random.randrange(1 << 30)
-        return Customers(name, port, plan.classes, plan.rate, plan.leaves, seed)
+        return SoakClients(name, port, plan.classes, plan.rate, plan.leaves, seed)
 
     async def _faults(self) -> None:
         loop = asyncio.get_running_loop()
@@ -271,7 +271,7 @@
         await self._move_discovery()
 
     async def _move_discovery(self) -> None:
-        old, new = self._board, StandInBoard()
+        old, new = self._board, StandInDiscovery()
         new.notices = old.notices
         await new.start()
         self._board = new
--- a/lotusstream/lab/stand_ins.py
+++ b/lotusstream/lab/stand_ins.py
@@ -93,7 +93,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-class StandInEngine(HttpStandIn):
+class StandInEndpoint(HttpStandIn):
     def __init__(self, uid: str) -> None:
         super().__init__()
         self.uid, self.pages = uid, [b"a\tb\tc\n"]
@@ -142,7 +142,7 @@
                 "pod_group": 0, "state": state, "capacity_hint": 1, "boot_ms": boot_ms}  # fmt: skip
 
 
-class StandInBoard(HttpStandIn):
+class StandInDiscovery(HttpStandIn):
     def __init__(self) -> None:
         super().__init__()
         self.notices: list[dict[str, object]] = []
@@ -170,7 +170,7 @@
         return http_answer(200, json.dumps(news).encode())
 
 
-class Failed(Exception):
+class RequestFailedError(Exception):
     """`kind`: "shed", "failed" or "fault"."""
 
     def __init__(self, kind: str, fields: dict[str, str]) -> None:
@@ -246,7 +246,7 @@
             protocol = TBinaryProtocol(TMemoryBuffer(await future), strictRead=True)
         _, kind, _ = protocol.readMessageBegin()
         if kind == TMessageType.EXCEPTION:
-            raise Failed("fault", {})
+            raise RequestFailedError("fault", {})
         _, _, number = protocol.readFieldBegin()
         values: dict[int, Any] = {}
         while (field := protocol.readFieldBegin())[1] != TType.STOP:
@@ -259,7 +259,7 @@
                     size = protocol.readMapBegin()[2]
                     values[field[2]] = {protocol.readString(): protocol.readString() for _ in range(size)}
         if number:
-            raise Failed({1: "shed", 2: "failed"}[number], values[1])
+            raise RequestFailedError({1: "shed", 2: "failed"}[number], values[1])
         return values[1], values[3]
 
     def close(self) -> None:
@@ -289,7 +289,7 @@
         return sorted(mark for mark, count in self.of_mark.items() if count > 1)
 
 
-class CountingEngine(StandInEngine):
+class CountingEndpoint(StandInEndpoint):
     """Does at once what it is sent, and counts it. `drops`: profiles whose repeats it tells by their mark."""
 
     def __init__(self, uid: str, zone: str, effects: Effects, drops: frozenset[str]) -> None:
--- a/lotusstream/lab/virtual.py
+++ b/lotusstream/lab/virtual.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lotusstream.lab.world import MS, Broken, Node, S, Span, World
+from lotusstream.lab.world import MS, InvariantViolationError, Node, S, Span, World
 from lotusstream.leases import holder as hold
 from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.leases.service import (
@@ -115,7 +115,7 @@
         self.line: list[str] = []
 
     def fails(self, what: str) -> None:
-        raise Broken(f"seed {self.seed}, at {self.now / S:.3f} s: {what}")
+        raise InvariantViolationError(f"seed {self.seed}, at {self.now / S:.3f} s: {what}")
 
     def leads(self, term: int, name: str) -> None:
         if self.leaders.setdefault(term, name) != name:
--- a/lotusstream/lab/world.py
+++ b/lotusstream/lab/world.py
@@ -12,7 +12,7 @@
 MS, S = 1_000, 1_000_000
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """Something that must hold did not; the text tells seed and time."""
 
 
@@ -64,7 +64,7 @@
         raise NotImplementedError
 
     def fails(self, what: str) -> None:
-        raise Broken(f"seed {self.seed}, at {self.now / S:.3f} s: {what}")
+        raise InvariantViolationError(f"seed {self.seed}, at {self.now / S:.3f} s: {what}")
 
     def play(self) -> None:
         if self.span.faults:
--- a/lotusstream/observe/own.py
+++ b/lotusstream/observe/own.py
@@ -1,4 +1,4 @@
-"""What this process uses: its core, its memory, its descriptors."""
+"""What this process uses of what it is allowed: core, memory and descriptors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnUse:
-    """Shares of what is allowed, 0 to 1; None where the system does not tell."""
+    """Ratios of what is allowed, 0 to 1; None where the operating system does not report it."""
 
     core: float | None
     memory: float | None
@@ -29,6 +29,7 @@
         self._last = (time.monotonic(), time.process_time())
 
     def read(self) -> OwnUse:
+        """Returns what is used now, and of the core since the last reading."""
         wall, used = time.monotonic(), time.process_time()
         span, spent = wall - self._last[0], used - self._last[1]
         self._last = (wall, used)
--- a/lotusstream/operator/grammar.py
+++ b/lotusstream/operator/grammar.py
@@ -87,7 +87,7 @@
     text: str
 
 
-class _Misread(Exception):
+class _ConditionError(Exception):
     """A condition that reads well and says nothing that can be."""
 
     def __init__(self, column: int, what: str, hint: str) -> None:
@@ -149,12 +149,14 @@
         name, of = signal
         known = SIGNALS.get(name)
         if known is None:
-            raise _Misread(name.column or 1, f"no signal is called '{name}'", nearest(name, SIGNALS))
+            raise _ConditionError(name.column or 1, f"no signal is called '{name}'", nearest(name, SIGNALS))
         if of is not None and not known.by_profile:
-            raise _Misread(of.column or 1, f"{name} is not told by profile", f"write {name} alone")
+            raise _ConditionError(of.column or 1, f"{name} is not told by profile", f"write {name} alone")
         wanted = {SignalUnit.SHARE: "SHARE", SignalUnit.TIME: "TIME", SignalUnit.COUNT: "NUMBER"}[known.unit]
         if limit.type != wanted:
-            raise _Misread(limit.column or 1, f"found '{limit}'", f"{name} is held against {SPOKEN[wanted]}")
+            raise _ConditionError(
+                limit.column or 1, f"found '{limit}'", f"{name} is held against {SPOKEN[wanted]}"
+            )
         readers: dict[str, Callable[[str], float]]
         readers = {"SHARE": units.parse_share, "TIME": units.parse_time, "NUMBER": float}
         value = readers[wanted](limit)
@@ -172,6 +174,6 @@
         return _Reader().transform(tree)
     except Exception as error:
         cause: BaseException = getattr(error, "orig_exc", error)
-        if isinstance(cause, _Misread):
+        if isinstance(cause, _ConditionError):
             return Problem(path, number, ahead + cause.column, cause.what, cause.hint)
         raise
--- a/lotusstream/protocol/control.py
+++ b/lotusstream/protocol/control.py
@@ -26,67 +26,81 @@
 
 
 class Status(Request, tag="status"):
-    pass
+    """What the gateway is doing as a whole."""
 
 
 class Levels(Request, tag="levels"):
+    """The degradation levels, and their last `history` changes."""
+
     history: int = 10
 
 
 class Engines(Request, tag="engines"):
-    pass
+    """The listed endpoints, as the decisions see them."""
 
 
 class Commands(Request, tag="commands"):
+    """The open requests, `most` of them at most."""
+
     most: int = 100
 
 
 class CountersAsked(Request, tag="counters"):
-    pass
+    """All counters."""
 
 
 class HoldLevel(Request, tag="hold"):
+    """Hold a degradation level by hand for so many microseconds."""
+
     level: str
     microseconds: int
 
 
 class ReleaseLevel(Request, tag="release"):
-    pass
+    """End the hold of a degradation level."""
 
 
 class Cells(Request, tag="cells"):
+    """The cells, or where one tenant belongs."""
+
     tenant: str | None = None
 
 
 class MoveCell(Request, tag="move"):
+    """Migrate a tenant to a cell; with `dry_run` only say whether that can be done."""
+
     tenant: str
     cell: str
     dry_run: bool = False
 
 
 class AbortMove(Request, tag="abort"):
+    """Roll the migration of a tenant back."""
+
     tenant: str
 
 
 class Peers(Request, tag="peers"):
-    pass
+    """The connections to other gateways."""
 
 
 class Quorum(Request, tag="quorum"):
-    pass
+    """The Raft group as this gateway and its leader see it."""
 
 
 class ChangeKeeper(Request, tag="keeper"):
+    """Add a member to the Raft group, or remove it."""
+
     name: str
     add: bool
 
 
 class Leases(Request, tag="leases"):
-    pass
+    """Who holds which lease."""
 
 
 class Copies(Request, tag="copies"):
-    pass
+    """Shards and replicas, and who decides on them."""
 
 
 class Drain(Request, tag="drain"):
@@ -144,14 +158,17 @@
 
 
 def frame(payload: bytes) -> bytes:
+    """Returns the payload behind its length."""
     return LENGTH.pack(len(payload)) + payload
 
 
 def encode_request(request: Asking) -> bytes:
+    """Returns the bytes of a request."""
     return frame(msgspec.json.encode(request))
 
 
 def encode_reply(reply: Reply) -> bytes:
+    """Returns the bytes of a reply; one that would be too long becomes a rejection that says so."""
     payload = msgspec.json.encode(reply)
     if len(payload) > LONGEST_REPLY:
         refused = Refusal("request", f"the answer has {len(payload)} bytes: ask for less")
@@ -160,6 +177,10 @@
 
 
 def frame_length(head: bytes, longest: int) -> int:
+    """Returns the length in bytes of what follows a head.
+
+    Raises ControlRequestError where it is none or over `longest`.
+    """
     (length,) = LENGTH.unpack(head)
     if not 0 < length <= longest:
         raise ControlRequestError(f"a request of {length} bytes; {longest} at most", fatal=True)
@@ -167,6 +188,7 @@
 
 
 def decode_request(payload: bytes) -> Asking:
+    """Returns the request in a payload. Raises ControlRequestError."""
     try:
         return _REQUESTS.decode(payload)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -174,6 +196,7 @@
 
 
 def decode_reply(payload: bytes) -> Reply:
+    """Returns the reply in a payload. Raises ControlRequestError."""
     try:
         return _REPLIES.decode(payload)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,18 +21,27 @@
     CALLS,
     LIMIT,
     Call,
-    Failed,
     HttpStandIn,
     Line,
-    StandInBoard,
+    RequestFailedError,
     StandInClient,
-    StandInEngine,
+    StandInDiscovery,
+    StandInEndpoint,
     http_answer,
 )
 from lotusstream.policy import Gateway
 
-__all__ = ["CALLS", "LIMIT", "Call", "Failed", "HttpStandIn", "StandInClient", "http_answer",
-           "pytest_collection_modifyitems", "pytest_terminal_summary"]  # fmt: skip
+__all__ = [
+    "CALLS",
+    "LIMIT",
+    "Call",
+    "HttpStandIn",
+    "RequestFailedError",
+    "StandInClient",
+    "http_answer",
+    "pytest_collection_modifyitems",
+    "pytest_terminal_summary",
+]  # fmt: skip
 
 hypothesis_settings.register_profile("same", derandomize=True, deadline=None, database=None)
 hypothesis_settings.load_profile("same")  # the same verdict always
@@ -171,7 +180,7 @@
     """A gateway, started by its command line, and the parties around it."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.board, self.engines = folder, StandInBoard(), [StandInEngine("s-1")]
+        self.folder, self.board, self.engines = folder, StandInDiscovery(), [StandInEndpoint("s-1")]
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
         self.log = Line()
         self.clients: list[StandInClient] = []
@@ -185,7 +194,7 @@
         return self.operator
 
     async def start(self, *engines: str) -> StandInClient:
-        self.engines += [StandInEngine(uid) for uid in engines]
+        self.engines += [StandInEndpoint(uid) for uid in engines]
         for party in (self.board, *self.engines):
             await party.start()
         self.board.tell(*(engine.entry() for engine in self.engines), whole=True)
@@ -223,7 +232,7 @@
         self.clients.append(await StandInClient().connect(self.port))
         return self.clients[-1]
 
-    async def chosen(self) -> StandInEngine:
+    async def chosen(self) -> StandInEndpoint:
         """The engine that the first send goes to."""
         waits = [asyncio.create_task(engine.calls.until(lambda call: call.method == "POST"))
                  for engine in self.engines]  # fmt: skip
--- a/tests/control/test_cells.py
+++ b/tests/control/test_cells.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from conftest import LIMIT, S, StandInEngine
+from conftest import LIMIT, S, StandInEndpoint
 from conftest import settings as plain_settings
 from test_control import Operated
 
@@ -56,7 +56,7 @@
             while (await self.cells())["moves"][0]["step"] != step:
                 await asyncio.sleep(0.02)
 
-    async def goes_to(self, **fields: str) -> StandInEngine:
+    async def goes_to(self, **fields: str) -> StandInEndpoint:
         """The engine that answers a command now."""
         before = [len(engine.posts()) for engine in self.engines]
         client = await self.client()
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from conftest import LIMIT, Failed, World
+from conftest import LIMIT, RequestFailedError, World
 
 TWO_LEVELS = """control {control}
 control-patience 500ms
@@ -148,7 +148,7 @@
     assert (came["level"], came["before"], came["cause"]) == ("trimmed", "full", "signals")
     assert came["condition"] == "load > 300% for 0.1s" and "load" in came["signals"]
     assert came["ends_when"] == "load < 200% for 0.1s"
-    with pytest.raises(Failed) as caught:
+    with pytest.raises(RequestFailedError) as caught:
         for _ in range(20):
             await client.answer(client.ask())
     assert caught.value.kind == "shed" and 0 < int(caught.value.fields["pushback"]) <= 500
@@ -169,7 +169,7 @@
     told = await control.ask("hold", level="spare", microseconds=1_500_000)
     assert told["level"] == "spare" and told["held_until"] > told["now"]
     control.writer.transport.abort()
-    with pytest.raises(Failed):
+    with pytest.raises(RequestFailedError):
         await client.answer(client.ask())
     assert "hold ended" in json.dumps([await operated.line("level", 2)])
     assert (await operated.line("level", 3))["level"] == "trimmed"  # one rung at a time
@@ -346,7 +346,7 @@
 async def test_a_line_about_an_engine_has_its_fields(operated: Operated) -> None:
     client = await operated.start()
     operated.engines[0].acts, operated.engines[0].pages = "loses pages", [b"1\t2\t3\n"] * 2
-    with pytest.raises(Failed):
+    with pytest.raises(RequestFailedError):
         await client.answer(client.ask("booking"))
     line = await operated.line("page lost")
     assert (line["engine"], line["profile"], line["severity"]) == ("s-1", "booking", "warning")
--- a/tests/fleet/test_copies_on_processes.py
+++ b/tests/fleet/test_copies_on_processes.py
@@ -7,7 +7,7 @@
 
 from lotusstream.copies.shards import shard_of
 from lotusstream.lab.fleet.idempotency_client import Keeping
-from lotusstream.lab.fleet.rig import FleetRig, Lost
+from lotusstream.lab.fleet.rig import FleetRig, GatewayLostError
 from lotusstream.protocol import control as wire
 
 KEYS = [f"command-{at}" for at in range(6)]
@@ -329,9 +329,11 @@
     machine = f"m{drained[1:]}"
     decider = (await rig.gateways["g1"].ask(wire.Copies()))["manager"]
     if drained != decider:
-        with pytest.raises(Lost, match=f"'{decider}' decides on copies: ask there"):
+        with pytest.raises(GatewayLostError, match=f"'{decider}' decides on copies: ask there"):
             await rig.gateways[drained].ask(wire.Drain(machine))
-    with pytest.raises(Lost, match="no machine 'm9' in the operator file: it has m1, m2, m3, m4, m5"):
+    with pytest.raises(
+        GatewayLostError, match="no machine 'm9' in the operator file: it has m1, m2, m3, m4, m5"
+    ):
         await rig.gateways[decider].ask(wire.Drain("m9"))
     left = await rig.until(lambda told: not told["shards_left"], decider, wire.Drain(machine))
     assert left["drained"] == [machine]
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -10,7 +10,7 @@
 from lotusstream.lab.fleet.history_checker import judge
 from lotusstream.lab.fleet.lock_clients import Asker
 from lotusstream.lab.fleet.relay import Manner
-from lotusstream.lab.fleet.rig import FleetRig, Lost, held_port
+from lotusstream.lab.fleet.rig import FleetRig, GatewayLostError, held_port
 from lotusstream.leases.expiry import LeaseTiming
 from lotusstream.net.actor import Supervisor
 from lotusstream.protocol import control as wire
@@ -270,7 +270,7 @@
         while True:
             try:
                 return await rig.gateways[name].ask(wire.MoveCell("library-7", "other"))
-            except Lost as error:
+            except GatewayLostError as error:
                 if "another gateway drives moves" not in str(error):
                     raise
             await asyncio.sleep(0.05)
@@ -280,7 +280,7 @@
     rig = await fleet(3, 3, tasks=("moves",), more=(CELLS,))
     first = await rig.acts_for("moves")
     other = next(name for name in rig.names if name != first)
-    with pytest.raises(Lost, match="another gateway drives moves"):
+    with pytest.raises(GatewayLostError, match="another gateway drives moves"):
         await rig.gateways[other].ask(wire.MoveCell("library-7", "other"))
     told = await moved(rig, first)
     assert [move["tenant"] for move in told["moves"]] == ["library-7"]
@@ -297,7 +297,7 @@
 async def test_a_gateway_that_never_asks_for_moves_begins_none(fleet):
     rig = await fleet(3, 3, tasks=(), more=(CELLS,))
     for name in rig.names:
-        with pytest.raises(Lost, match="another gateway drives moves"):
+        with pytest.raises(GatewayLostError, match="another gateway drives moves"):
             await rig.gateways[name].ask(wire.MoveCell("library-7", "other"))
 
 
@@ -314,7 +314,7 @@
     async with asyncio.timeout(20):
         while not any("is agreed on, and differs" in line for line in rig.gateways[other].lines):
             await asyncio.sleep(0.05)
-    with pytest.raises(Lost, match="another gateway drives moves"):
+    with pytest.raises(GatewayLostError, match="another gateway drives moves"):
         await rig.gateways[other].ask(wire.MoveCell("library-7", "other"))
     file.write_text(file.read_text().replace("  hold 2s", "  plan 1\n  hold 2s"))
     rig.gateways[other].signal(signal.SIGHUP)
@@ -337,7 +337,7 @@
             while True:
                 try:
                     told = await rig.gateways[stays].ask(wire.ChangeKeeper(leader, False))
-                except Lost:
+                except GatewayLostError:
                     told = await rig.gateways[stays].ask(wire.Quorum())
                 if voters(told) == left:
                     return
--- a/tests/fleet/test_promises_on_processes.py
+++ b/tests/fleet/test_promises_on_processes.py
@@ -12,7 +12,7 @@
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.lab.fleet.run import COPIES, play
 from lotusstream.lab.fleet.schedule import Fault, Schedule
-from lotusstream.lab.stand_ins import Failed
+from lotusstream.lab.stand_ins import RequestFailedError
 
 DIRECTIVES = (
     "heartbeat 60ms", "election 400ms", "lease 2s", "drift 5%", "copies 3 promise 2", "shards 4",
@@ -42,7 +42,7 @@
     client = await rig.gateways[name].client()
     try:
         return (await client.answer(client.ask(profile, **fields)))[0]
-    except Failed as error:
+    except RequestFailedError as error:
         return error.kind
     finally:
         client.close()
@@ -210,7 +210,7 @@
         rig.behave(asked, name, Manner(deaf=True))  # whatever it asks is done, and it hears of nothing
     for engine in rig.engines:
         engine.acts = "answers"
-    with pytest.raises(Failed):
+    with pytest.raises(RequestFailedError):
         await client.answer(seqid)
     client.close()
     others = [name for name in rig.names if name != asked]
--- a/tests/fleet/test_two_versions_on_processes.py
+++ b/tests/fleet/test_two_versions_on_processes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lotusstream.lab.fleet.clients import Customers
+from lotusstream.lab.fleet.clients import FleetClients
 from lotusstream.lab.fleet.rig import FleetRig
 from lotusstream.lab.fleet.run import KEEPS
 from lotusstream.lab.fleet.run import SHARDS as COUNT
@@ -47,7 +47,7 @@
         for name in rig.names:
             await as_version(rig, name, old)
         await rig.whole(COUNT)
-        async with Customers(rig, 3, 83) as customers:
+        async with FleetClients(rig, 3, 83) as customers:
             for turn, name in enumerate(rig.names):
                 await as_version(rig, name, new)
                 await rig.whole(COUNT)
--- a/tests/net/test_rare_moments.py
+++ b/tests/net/test_rare_moments.py
@@ -20,9 +20,9 @@
     LIMIT,
     Line,
     PolicyHost,
-    StandInBoard,
     StandInClient,
-    StandInEngine,
+    StandInDiscovery,
+    StandInEndpoint,
     World,
     endpoint_entry,
     http_answer,
@@ -122,7 +122,7 @@
 async def test_an_attempt_whose_time_is_over_does_not_leave_on_a_connection_that_rests() -> None:
     """Such a connection is had without a wait, and the time-out around it comes with the first wait only: on
     a busy core requests were sent up to a fifth of a second after their end, told that 1 ms was left."""
-    stand_in, told, clock, supervisor = StandInEngine("s-1"), Line(), StillClock(), Supervisor()
+    stand_in, told, clock, supervisor = StandInEndpoint("s-1"), Line(), StillClock(), Supervisor()
     await stand_in.start()
     endpoint = ("127.0.0.1", stand_in.port)
     actor = EndpointActor(b"s-1", endpoint, SocketBudget(8), 250 * MS, 30 * S, clock, told.add, supervisor)
@@ -140,7 +140,7 @@
 @pytest.fixture
 async def waiting(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Any]:
     """An attempt whose connection does not come up until `up` is set."""
-    stand_in, told, supervisor, budget = StandInEngine("s-1"), Line(), Supervisor(), SocketBudget(8)
+    stand_in, told, supervisor, budget = StandInEndpoint("s-1"), Line(), Supervisor(), SocketBudget(8)
     await stand_in.start()
     asked, up, get = asyncio.Event(), asyncio.Event(), ConnectionPool.get
 
@@ -208,7 +208,7 @@
 @pytest.fixture
 async def single() -> AsyncIterator[Any]:
     """An attempt without hedging: its connection breaks, and others are refused."""
-    stand_in, told, supervisor, clock = StandInEngine("s-1"), Line(), Supervisor(), StillClock()
+    stand_in, told, supervisor, clock = StandInEndpoint("s-1"), Line(), Supervisor(), StillClock()
     await stand_in.start()
     stand_in.acts, budget = "is silent", SocketBudget(8)
     endpoint = ("127.0.0.1", stand_in.port)
@@ -506,7 +506,7 @@
     """SIGHUP comes before the configuration is completely written. The gateway goes on with the old one,
     and takes the new one once it is complete."""
     await world.start()
-    other = StandInBoard()
+    other = StandInDiscovery()
     await other.start()
     other.notices = list(world.board.notices)
     path = world.configure(board=f"127.0.0.1:{other.port}")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,11 +7,19 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import LIMIT, Failed, StandInBoard, StandInClient, StandInEngine, World, http_answer
+from conftest import (
+    LIMIT,
+    RequestFailedError,
+    StandInClient,
+    StandInDiscovery,
+    StandInEndpoint,
+    World,
+    http_answer,
+)
 
 
-async def failure(client: StandInClient, seqid: int) -> Failed:
-    with pytest.raises(Failed) as caught:
+async def failure(client: StandInClient, seqid: int) -> RequestFailedError:
+    with pytest.raises(RequestFailedError) as caught:
         await client.answer(seqid)
     return caught.value
 
@@ -150,7 +158,7 @@
     old = world.engines[0]
     await client.answer(client.ask())
     old.die()
-    new = StandInEngine("s-9")
+    new = StandInEndpoint("s-9")
     world.engines.append(new)
     await new.start(old.port)
     world.board.tell(old.entry("gone"), new.entry())
@@ -207,7 +215,7 @@
     held = client.ask()
     first = await world.chosen()
     await world.board.calls.until(lambda call: "watch=1&" in call.path)
-    other = StandInBoard()
+    other = StandInDiscovery()
     await other.start()
     other.notices = list(world.board.notices)
     world.configure(board=f"127.0.0.1:{other.port}", seed="77")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from conftest import LIMIT, Failed, Line, StandInClient, StandInEngine, World, settings
+from conftest import LIMIT, Line, RequestFailedError, StandInClient, StandInEndpoint, World, settings
 
 from lotusstream import interface as api
 from lotusstream.cli import main
@@ -304,7 +304,7 @@
 @pytest.fixture
 async def endpoint() -> Any:
     """An endpoint's actor and the stand-in endpoint that it talks to; `reports` takes what it reports."""
-    supervisor, stand_in, reports = Supervisor(), StandInEngine("s-1"), Line()
+    supervisor, stand_in, reports = Supervisor(), StandInEndpoint("s-1"), Line()
     await stand_in.start()
     stand_in.acts = "holds"
     address = ("127.0.0.1", stand_in.port)
@@ -505,5 +505,5 @@
     world.program.terminate()
     while await client.probe():
         pass
-    with pytest.raises(Failed):
+    with pytest.raises(RequestFailedError):
         await client.answer(1)
