--- a/lotusstream/operator/grammar.py
+++ b/lotusstream/operator/grammar.py
@@ -89,7 +89,7 @@
     text: str  # the whole line
 
 
-class _MeaningError(Exception):
+class _ConditionError(Exception):
     """A condition whose grammar is right and whose meaning is not, such as one on an unknown signal."""
 
     def __init__(self, column: int, what: str, hint: str) -> None:
@@ -153,12 +153,12 @@
         name, of = signal
         known = SIGNALS.get(name)
         if known is None:
-            raise _MeaningError(name.column or 1, f"no signal is called '{name}'", nearest(name, SIGNALS))
+            raise _ConditionError(name.column or 1, f"no signal is called '{name}'", nearest(name, SIGNALS))
         if of is not None and not known.by_profile:
-            raise _MeaningError(of.column or 1, f"{name} is not told by profile", f"write {name} alone")
+            raise _ConditionError(of.column or 1, f"{name} is not told by profile", f"write {name} alone")
         wanted = {SignalUnit.SHARE: "SHARE", SignalUnit.TIME: "TIME", SignalUnit.COUNT: "NUMBER"}[known.unit]
         if limit.type != wanted:
-            raise _MeaningError(
+            raise _ConditionError(
                 limit.column or 1, f"found '{limit}'", f"{name} is held against {SPOKEN[wanted]}"
             )
         readers: dict[str, Callable[[str], float]]
@@ -184,6 +184,6 @@
         return _Reader().transform(tree)
     except Exception as error:
         cause: BaseException = getattr(error, "orig_exc", error)
-        if isinstance(cause, _MeaningError):
+        if isinstance(cause, _ConditionError):
             return Problem(path, number, ahead + cause.column, cause.what, cause.hint)
         raise
