--- a/lotusstream/copies/assignment_policy.py
+++ b/lotusstream/copies/assignment_policy.py
@@ -74,7 +74,7 @@
         return tuple(counted[1:])
 
     def _silence_order(self, replica_id: ReplicaId) -> tuple[int, ReplicaId]:
-        """Sort key: the replica that is silent for longest, the least likely to come back, is first."""
+        """Sort key: the replica without a heartbeat for longest, least likely to return, is first."""
         return (self._hosts.last_heartbeat_at(replica_id), replica_id)
 
     def with_joining(self, known: ShardAssignment, available: list[ReplicaHost]) -> ShardAssignment | None:
--- a/lotusstream/copies/backup.py
+++ b/lotusstream/copies/backup.py
@@ -92,7 +92,7 @@
         self._context.outbox.send(sender, reply)
 
     def _follows(self, sender: ReplicaId, shard: ShardReplica, epoch: int) -> bool:
-        """Whether the sender is this replica's primary in this epoch; an earlier primary is told of it."""
+        """Whether the sender is this replica's primary in this epoch; an earlier one is notified."""
         assignment = shard.assignment
         if assignment is None:
             return False
--- a/lotusstream/copies/catch_up.py
+++ b/lotusstream/copies/catch_up.py
@@ -29,7 +29,7 @@
         self._waits_for_bandwidth = self._waits_for_bandwidth and self._context.touched is not None
 
     def start(self, shard: ShardReplica, to: ReplicaId, reply: PositionReply) -> None:
-        """Send what a replica lacks, from the position that it has told."""
+        """Send what a replica lacks, from the position that it has reported."""
         shard.sessions[to] = reply.session
         shard.acknowledged[to] = -1
         position = Position(reply.last_epoch, reply.last_sequence)
--- a/lotusstream/copies/claim_events.py
+++ b/lotusstream/copies/claim_events.py
@@ -1,4 +1,4 @@
-"""What a claim coordinator is told (events) and what it asks of its caller (actions).
+"""Events that a claim coordinator takes, and actions that its caller carries out.
 
 A request has the number that the decisions give it, an attempt the number within its request.
 """
--- a/lotusstream/copies/controller_events.py
+++ b/lotusstream/copies/controller_events.py
@@ -1,4 +1,4 @@
-"""What the shard controller is told (events) and what it asks of its caller (actions)."""
+"""Events that the shard controller takes, and actions that its caller carries out."""
 
 from __future__ import annotations
 
--- a/lotusstream/copies/idempotency.py
+++ b/lotusstream/copies/idempotency.py
@@ -1,6 +1,6 @@
 """A gateway's side of replicated idempotency records, without I/O.
 
-Before an attempt of a request with an idempotency key leaves, its key is claimed at the primary of the key's
+Before an attempt of a request with an idempotency key is sent, its key is claimed at the primary of the key's
 shard; before the client is answered, the answer is stored there. A claim names the endpoints that drop
 repeats, so that another gateway that gets the repeat sends it there or not at all. A claim is replaced by
 compare-and-set on its owner, and each claim has an owner of its own: a message that comes late changes
@@ -45,7 +45,7 @@
 
     shard_count: int
     replica_count: int
-    reply_timeout: int  # for one answer of a host
+    reply_timeout: int  # for one reply of a host
     retry_pause: int  # between two tries
 
 
--- a/lotusstream/copies/primary.py
+++ b/lotusstream/copies/primary.py
@@ -57,7 +57,7 @@
                 self._replicate(shard, request.ticket, wanted)
         elif known == wanted:
             self._repeat(shard, request.ticket, wanted.key)
-        elif wanted.key in shard.uncommitted_keys:  # nobody may be told of a record that could still be lost
+        elif wanted.key in shard.uncommitted_keys:  # a record that could still be lost may not be returned
             self._refuse(request.ticket, "the same key is being taken at this moment")
         elif _may_replace(known, request.previous_owner):
             self._replicate(shard, request.ticket, wanted)
@@ -180,7 +180,7 @@
         self._context.fail_pending(shard, "a later epoch has begun")
 
     def stand_down_for(self, shard: ShardReplica, replica: ReplicaId) -> None:
-        """Let a backup with more become primary; the controller is told by the next heartbeat.
+        """Let a backup with more become primary; the next heartbeat reports it to the controller.
 
         Guards commits against a disk that lied: this replica came back with less than it had confirmed, and
         a backup that counts has all of it.
--- a/lotusstream/copies/replica_context.py
+++ b/lotusstream/copies/replica_context.py
@@ -113,7 +113,7 @@
         return self.shards.setdefault(number, ShardReplica(number))
 
     def is_primary(self, shard: ShardReplica) -> bool:
-        """Whether this run is the primary: a run that begins anew needs another epoch first."""
+        """Whether this run is the primary: after a restart a new epoch is needed first."""
         assignment = shard.assignment
         if assignment is None or shard.deposed:
             return False
--- a/lotusstream/copies/replica_events.py
+++ b/lotusstream/copies/replica_events.py
@@ -1,4 +1,4 @@
-"""What a replica set is told (events) and what it asks of its caller (actions)."""
+"""Events that a replica set takes, and actions that its caller carries out."""
 
 from __future__ import annotations
 
--- a/lotusstream/leases/__init__.py
+++ b/lotusstream/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may act for the fleet, with a token that only grows; without I/O. docs/design/leases.md."""
+"""Leases: which gateway may act for the fleet, under a fencing token; without I/O. docs/design/leases.md."""
--- a/lotusstream/leases/expiry.py
+++ b/lotusstream/leases/expiry.py
@@ -12,8 +12,8 @@
     """How long a lease lasts, and when its holder stops."""
 
     duration_us: int  # without a renewal
-    safety_margin_us: int  # so long before the end, by its own clock, the holder stops
-    max_clock_drift_ratio: float  # by so much, of the time passed, any clock runs fast or slow at most
+    safety_margin_us: int  # the holder stops this long before the end, by its own clock
+    max_clock_drift_ratio: float  # most that any clock runs fast or slow, as a part of the time passed
 
     def min_safety_margin_us(self) -> int:
         """The margin with which a slow holder's clock stops before a fast leader's clock runs out.
@@ -38,7 +38,7 @@
 class LeaseExpiryTracker:
     """Measures each grant from when this leader first sees it.
 
-    A new leader begins anew with every lease, as if it had just been granted: a lease may so last longer, but
+    A new leader measures every lease as if it had just been granted: a lease may thus last longer, but
     never runs out before its time.
     """
 
--- a/lotusstream/leases/holder.py
+++ b/lotusstream/leases/holder.py
@@ -14,7 +14,7 @@
 from lotusstream.leases.table import AcquireLease, LeaseOperation, LeaseResult, ReleaseLease
 
 RENEWALS_PER_LEASE = 3  # a lease is renewed each third of its duration
-REPLY_TIMEOUTS_PER_LEASE = 8  # so many requests can fail one after the other before a lease is over
+REPLY_TIMEOUTS_PER_LEASE = 8  # how many requests in a row can time out within one lease
 MAX_RELEASE_ATTEMPT_COUNT = 8  # then the lease runs out by itself
 MAX_BACKOFF_DOUBLING_COUNT = 4
 
@@ -103,7 +103,7 @@
     pending_number: int = 0  # of the request without a reply yet, or 0
     sent_at: int = 0  # when the newest request was sent
     release: ReleaseLease | None = None  # sent until it is answered
-    failed_attempt_count: int = 0  # one after the other
+    failed_attempt_count: int = 0  # in a row
 
     def stop(self, reason: str) -> StopTask:
         """The lease is not held any more."""
--- a/lotusstream/leases/table.py
+++ b/lotusstream/leases/table.py
@@ -257,7 +257,7 @@
             return _result(lease, "it was renewed or passed on")
         if lease.token:
             _free(lease)
-        else:  # the successor did not come
+        else:  # the successor has not acquired it in time
             lease.successor = ""
             lease.renewal_count += 1
         return _result(lease)
--- a/lotusstream/net/commitments.py
+++ b/lotusstream/net/commitments.py
@@ -1,7 +1,7 @@
 """The commitment gate: requests with an idempotency key are claimed before they are sent to an endpoint.
 
-An attempt leaves once its key is claimed at the primary of the key's shard, an answer once it is stored
-there. Imported only where the operator file has `remember`.
+An attempt is sent once its key is claimed at the primary of the key's shard, an answer is delivered once
+it is stored there. Imported only where the operator file has `remember`.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
 from lotusstream.operator.fleet import FleetSettings
 from lotusstream.protocol import peers as wire
 
-CLAIM_TIME_DIVISOR = 4  # part of a request's time for a claim, and of a peer's timeout for one reply
-RETRY_PAUSE_DIVISOR = 8  # part of the reply's timeout between two tries
-RESERVED_TIME_DIVISOR = 50  # part of the client's time limit that is kept free before the deadline
+CLAIM_TIME_DIVISOR = 4  # divides a request's time for a claim, and the peer timeout for one reply
+RETRY_PAUSE_DIVISOR = 8  # divides the reply timeout; the result is the pause between two tries
+RESERVED_TIME_DIVISOR = 50  # divides the client's time limit; the result is kept free before the deadline
 DIGEST_BYTES = 16  # of a request's digest
 UNKNOWN_INDEX = -1  # of a zone or cell
 
@@ -213,7 +213,7 @@
                 self._decider.post(AnswerReady(request, None, reason))
 
     def _release(self, request: int, attempt: int) -> None:
-        """Let an attempt leave; its time counts from now on."""
+        """Send an attempt to its endpoint's actor; its latency is measured from now on."""
         waiting = self._waiting.pop((request, attempt))
         counters = self.supervisor.counters
         counters.add("sends promised")
--- a/lotusstream/net/fleet.py
+++ b/lotusstream/net/fleet.py
@@ -37,7 +37,7 @@
     from lotusstream.net.replication import ReplicationActor
     from lotusstream.net.shard_control import ShardControllerTask
 
-IDLE_LEASES_PER_LINK = 3  # a link without a frame for so many lease durations is closed
+IDLE_LEASES_PER_LINK = 3  # a link is closed after this many lease durations without a frame
 
 
 class Fleet:
@@ -78,7 +78,7 @@
         self.control = FleetControl(self)
 
     def start(self) -> None:
-        """Starts all parts. Raises OSError where the address for peers can't be had."""
+        """Starts all parts. Raises OSError where the address for peers can't be bound."""
         if self.server is not None:
             self.server.start()
         if self.raft_actor is not None:
@@ -94,7 +94,7 @@
             self.health_reports.start()
 
     def leave(self) -> None:
-        """A planned stop: releases leases and transfers leadership, as far as that goes at once."""
+        """Begins a graceful shutdown: asks to release leases and transfer leadership, without waiting."""
         if self.copies is not None:
             self.copies.begin_shutdown()
         for task in self.lease_holder.tasks:
@@ -113,7 +113,7 @@
             await self.raft_actor.stop()
 
     def propose_note(self, key: str, version: int, value: str) -> None:
-        """Has the tasks agree on a new version of a note, if it is new."""
+        """Restarts the tasks so that they agree on this version of a note, if it is new."""
         if self.proposed_notes.get(key) != (version, value):
             self.proposed_notes[key] = (version, value)
             self.lease_holder.restart_tasks()
--- a/lotusstream/net/raft_node.py
+++ b/lotusstream/net/raft_node.py
@@ -43,7 +43,7 @@
 
 
 def make_disk() -> FileSystemCalls:
-    """The system's calls to the disk; tests put their own in the way."""
+    """The system's calls to the disk; tests replace this function."""
     return FileSystemCalls()
 
 
@@ -133,7 +133,7 @@
         await asyncio.to_thread(self._close)
 
     def _write(self, writes: Sequence[ev.PersistRecords]) -> None:
-        """What stands before the last replacement of the log need not be written."""
+        """Writes the records, except those that a later replacement of the log makes superfluous."""
         replacements = [index for index, write in enumerate(writes) if write.replace_log]
         needed = writes[replacements[-1] :] if replacements else writes
         payloads = [msgspec.msgpack.encode(record) for write in needed for record in write.records]
@@ -144,7 +144,7 @@
                 self._log.append(*payloads)
 
     def _close(self) -> None:
-        """Not during a write: its descriptor could belong to another file by then."""
+        """Closes the log, not during a write: its descriptor could belong to another file by then."""
         with self._writing:
             self._log.close()
 
@@ -156,8 +156,8 @@
 class RaftActor(Actor[RaftActorMessage]):
     """Feeds a LeaseService with messages, time and the disk.
 
-    A request's `caller` is a callable that takes its wire.QuorumReply. When the disk fails, the node is as if
-    killed, and another is begun from what the disk has.
+    A request's `caller` is a callable that takes its wire.QuorumReply. When the disk fails, its RaftNode
+    is discarded, and a new one is made from what the disk holds.
     """
 
     def __init__(
@@ -167,7 +167,7 @@
         send: Callable[[RaftEnvelope], None],
         supervisor: Supervisor,
     ) -> None:
-        """Begins closed.
+        """Makes the actor with its disk not opened; `start` opens it.
 
         :param store: as opened before; None where that has failed
         :param send: sends an envelope to another node; it may be lost
@@ -184,7 +184,7 @@
         self._start_count = 0
 
     def start(self) -> None:
-        """Opens the disk, and begins."""
+        """Starts the actor, which then opens the disk."""
         super().start()
         self.post(_OpenStore())
 
@@ -213,7 +213,7 @@
             self._initial_store[0].close()
 
     def view(self) -> dict[str, Any]:
-        """The node as it stands here, for people, with the keys of `ctl --json`."""
+        """The node's state as known here, for people, with the keys of `ctl --json`."""
         if self.service is None:
             return {"role": "none", "trouble": self.fault}
         node = self.service.node
@@ -238,7 +238,7 @@
     # The disk
 
     async def _open(self) -> None:
-        """Begins from what the disk has, whatever was known here before."""
+        """Makes a new node from what the disk holds; nothing in memory is reused."""
         store = self._initial_store
         try:
             if store is None:
@@ -276,7 +276,7 @@
         return notify
 
     async def _close_after_failure(self, reason: str) -> None:
-        """The node is as if killed: it sends nothing more, and another begins from the disk."""
+        """Discards the node, which sends nothing more, fails its requests, and schedules a new opening."""
         service = self.service
         self.service = None
         if self._timer is not None:
@@ -352,7 +352,7 @@
         self._timer = loop.call_later((self._timer_at - now) / US, self._on_timer)
 
     def _on_timer(self) -> None:
-        """This can come a little early: the loop's timers count whole milliseconds."""
+        """Reports that time has passed; can be a bit early: the loop's timers count whole milliseconds."""
         self._timer = None
         self.post(ev.RaftTimeAdvanced())
 
--- a/lotusstream/net/replication.py
+++ b/lotusstream/net/replication.py
@@ -1,4 +1,4 @@
-"""The replicas of a gateway at work: their log, their messages to other gateways, and their heartbeats."""
+"""The actor that runs a gateway's shard replicas: their log, messages to other gateways, and heartbeats."""
 
 from __future__ import annotations
 
@@ -121,9 +121,9 @@
         self._requests: dict[int, _RequestReceived] = {}  # not answered yet, by ticket
         self._newest_ticket = 0
         self._sent_heartbeats = _SentHeartbeats(options.leases.duration_us)
-        self._answered_at = 0  # microseconds: when the controller has last answered a heartbeat
+        self._answered_at = 0  # microseconds of the boot clock: when the controller last answered a heartbeat
         self.controller = ""  # name of the gateway that controls the shards; "": not known
-        self.primaries: dict[int, ReplicaId] = {}  # by shard, as the controller has told last
+        self.primaries: dict[int, ReplicaId] = {}  # by shard, from the newest heartbeat reply
 
     # Life cycle
 
--- a/lotusstream/quorum/bootstrap.py
+++ b/lotusstream/quorum/bootstrap.py
@@ -1,4 +1,4 @@
-"""How a cluster is founded, and how an older copy of a disk is recognised."""
+"""How a cluster is bootstrapped, and how an older copy of a disk is recognised."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def is_older_copy(own: JoinRequest, reply: JoinReply) -> bool:
-    """Whether another node has heard more from this disk than the disk now holds.
+    """Whether this disk has acknowledged more to another node than it now holds.
 
     An index counts only in the same term: a later leader may rightly have removed the entry.
 
     :param own: what the disk holds
-    :param reply: what another node has heard from it
+    :param reply: what the disk has acknowledged to another node
     """
     if reply.reported_term != own.term:
         return reply.reported_term > own.term
@@ -28,11 +28,11 @@
 
 
 class ClusterBootstrap:
-    """Decides, for a node with an empty disk, which cluster to begin with.
+    """Decides, for a node with an empty disk, which cluster it becomes a member of.
 
-    A cluster is founded once, when all bootstrap members are there with empty disks, by the first of them by
-    name. A node that finds a founded cluster joins it as a new member instead; otherwise a wiped disk could
-    found a second cluster beside the first.
+    A cluster is bootstrapped once, when all bootstrap members run with empty disks, by the first of them by
+    name. A node that finds an existing cluster joins it as a new member instead; otherwise a wiped disk could
+    bootstrap a second cluster beside the first.
     """
 
     def __init__(self, name: str, incarnation: str, bootstrap_members: Sequence[str]) -> None:
@@ -58,14 +58,14 @@
         return Snapshot(0, 0, f"{self._incarnation}-{len(members)}", members)
 
     def accepts(self, snapshot: Snapshot) -> bool:
-        """Whether the founding of a cluster names this incarnation."""
+        """Whether the first snapshot of a cluster names this incarnation."""
         return find_member(snapshot.members, self._incarnation) is not None
 
     def _join_as_founder(self, reply: JoinReply) -> Snapshot | None:
         """The first snapshot, if this node is one of the first members.
 
-        Such a node has not heard of the founding yet and so has acknowledged nothing. Any other node waits
-        for the leader: a member list that it hears of may never be committed.
+        Such a node has not received the bootstrap message yet, so it has acknowledged nothing. Any other node
+        waits for the leader: the member list in a reply may never be committed.
         """
         if find_member(reply.founders, self._incarnation) is None:
             return None
--- a/lotusstream/quorum/committed_entries.py
+++ b/lotusstream/quorum/committed_entries.py
@@ -45,7 +45,7 @@
 
     def _after_leader_applied(self) -> None:
         state = self._state
-        # Only an entry of its own term tells a leader that it knows all that is committed.
+        # A leader knows all that is committed only once an entry of its own term is committed.
         if state.leading.pending_reads and state.log.term_at(state.commit_index) == state.term:
             self._read_index.complete_reads()
         is_member = find_member(state.members, state.incarnation) is not None
--- a/lotusstream/quorum/election.py
+++ b/lotusstream/quorum/election.py
@@ -42,7 +42,7 @@
         if state.role == Role.EMPTY or not state.is_verified:
             return
         if not request.is_transfer and self._has_leader():
-            # A node that was cut off may not depose a leader that a majority still hears.
+            # A node that was partitioned may not depose a leader whose heartbeats still reach a majority.
             if request.term < state.term:
                 state.reply(envelope, ms.VoteReply(state.term, False, request.is_pre_vote))
             return
@@ -69,7 +69,7 @@
             self.count_votes()
 
     def count_votes(self) -> None:
-        """Goes on once a majority has granted what was asked for."""
+        """After a majority of pre-votes becomes a candidate, after a majority of votes the leader."""
         state = self._state
         if not state.is_majority(state.candidate.votes):
             return
@@ -84,7 +84,7 @@
         state.leader = ""
         state.candidate.votes = {state.incarnation}
         self._request_votes(state.term + 1, is_pre_vote=True, is_transfer=False)
-        # A node that was replaced without hearing of it learns so from the answers.
+        # The replies show a node whether it was replaced while it received no messages.
         self._join.send_requests()
         self.count_votes()
 
--- a/lotusstream/quorum/events.py
+++ b/lotusstream/quorum/events.py
@@ -87,7 +87,7 @@
 class PersistRecords:
     """Write these records to the disk, then report RecordsPersisted.
 
-    After a failed write this node must not go on: another is begun from what the disk has.
+    After a failed write this RaftNode object must not be used: a new one is made from what the disk holds.
     """
 
     number: int  # grows by one with each of these actions
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """A request was refused, or nothing is known of its end."""
+    """A request was refused, or its outcome is unknown."""
 
     ticket: int
     reason: str
--- a/lotusstream/quorum/join.py
+++ b/lotusstream/quorum/join.py
@@ -1,7 +1,7 @@
 """How a node that starts finds its cluster, and how an older copy of a disk is recognised.
 
-A node that starts sends a JoinRequest to all other nodes. Their answers tell a node without a log how to
-begin, and tell a node with a log whether its disk has lost something that it had already acknowledged.
+A node that starts sends a JoinRequest to all other nodes. From the replies a node without a log learns
+how to begin, and a node with a log learns whether its disk has lost something that it had acknowledged.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedProgress:
-    """The newest that an incarnation has acknowledged to this node."""
+    """The newest term and log position that an incarnation has acknowledged to this node."""
 
     term: int = 0
     index: int = 0  # up to here it said that its disk has the log of that term
@@ -37,8 +37,8 @@
     """Sends and answers JoinRequests.
 
     A node takes part in elections only once `state.is_verified`: all voters, or a majority after an election
-    timeout, have answered and none has heard more from this incarnation than its disk holds. Without that
-    guard a disk restored from a backup could vote twice in a term and elect a second leader.
+    timeout, have answered, and this incarnation has acknowledged to none of them more than its disk holds.
+    Without that guard a disk restored from a backup could vote twice in a term and elect a second leader.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.next_request_at = now  # microseconds
 
     def become_new_incarnation(self) -> None:
-        """Gives up what the disk holds: from now on this node is a new member without a log."""
+        """Discards what the disk holds: from now on this node is a new member without a log."""
         state = self._state
         state.incarnation = self._unused_incarnation
         state.term = 0
@@ -122,7 +122,7 @@
             self.newcomers[envelope.sender] = Newcomer(envelope.sender_incarnation, state.now)
 
     def on_join_reply(self, envelope: ms.RaftEnvelope, reply: ms.JoinReply) -> None:
-        """Begins with the cluster that a reply tells of, or checks this disk against what it reports."""
+        """Joins the cluster that a reply describes, or checks this disk against what it reports."""
         state = self._state
         if state.role == Role.EMPTY:
             self._on_bootstrap_reply(envelope, reply)
--- a/lotusstream/quorum/leadership_transfer.py
+++ b/lotusstream/quorum/leadership_transfer.py
@@ -11,14 +11,14 @@
     """Hands leadership to the voter whose log is the most complete.
 
     Meanwhile the leader takes no proposals, so that the target can catch up; after an election timeout the
-    transfer is given up and it leads on.
+    transfer is abandoned and it stays leader.
     """
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
 
     def on_shutdown(self) -> None:
-        """This node stops: it hands over if it leads, and starts no election any more."""
+        """This node shuts down: it transfers leadership if it is leader, and starts no more elections."""
         state = self._state
         state.is_shutting_down = True
         if state.role == Role.LEADER:
@@ -40,7 +40,7 @@
             state.send(target.name, target.incarnation, message, after_persist=False)
 
     def expire_if_due(self) -> bool:
-        """Gives the transfer up at its deadline. Returns whether it did."""
+        """Abandons the transfer at its deadline. Returns whether it did."""
         leading = self._state.leading
         if leading.transfer is None or self._state.now < leading.transfer.deadline:
             return False
--- a/lotusstream/quorum/outbox.py
+++ b/lotusstream/quorum/outbox.py
@@ -21,8 +21,8 @@
 class Outbox:
     """Collects actions in order. A message that promises what is not yet written waits for the write.
 
-    Invariant: no vote and no acknowledgement leaves before the records it rests on are on the disk;
-    otherwise a crash could take back what another node has already counted.
+    Invariant: no vote and no acknowledgement leaves before the records that it depends on are on the disk;
+    otherwise a crash could undo what another node has already counted.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self._records += records
 
     def replace_log(self, *records: ms.RaftRecord) -> None:
-        """Has the write of this call replace the whole log on the disk with these records."""
+        """Makes the write of this call replace the whole log on the disk with these records."""
         self._records = list(records)
         self._replace_log = True
 
--- a/lotusstream/quorum/read_index.py
+++ b/lotusstream/quorum/read_index.py
@@ -10,7 +10,7 @@
     """Completes reads once they see everything that was committed before they came.
 
     A read waits for a heartbeat round that begins after it came. Without that wait a deposed leader, which
-    has not heard of its successor yet, would serve stale data.
+    does not know of its successor yet, would serve stale data.
     """
 
     def __init__(self, state: RaftState) -> None:
--- a/lotusstream/wal/errors.py
+++ b/lotusstream/wal/errors.py
@@ -46,7 +46,7 @@
 
 
 class DiskError(LogError):
-    """The disk is full, read-only, or failed. What was appended before stands."""
+    """The disk is full, read-only, or failed. What was appended before stays in the log."""
 
     @classmethod
     def from_os_error(cls, path: str, error: OSError) -> DiskError:
--- a/lotusstream/wal/log.py
+++ b/lotusstream/wal/log.py
@@ -33,7 +33,7 @@
 class LogInspection:
     """A log's file at one moment, to be read beside further writes.
 
-    Those only follow what is read here, or make another file.
+    Later writes are appended behind what is read here, or replace the file by another.
     """
 
     def __init__(self, descriptor: int, size_bytes: int) -> None:
@@ -123,7 +123,7 @@
         os.lseek(self._descriptor, decoded.end, os.SEEK_SET)
 
     def inspect(self) -> LogInspection:
-        """Open what is on the disk so far to read it again. Not beside a write of this process.
+        """Open what is on the disk so far to read it again. Not to be called during a write of this process.
 
         :raises DiskError: the file can't be opened.
         """
@@ -168,7 +168,7 @@
     def rewrite(self, payloads: Iterable[bytes]) -> None:
         """Replace all frames at once, by a new file and a rename.
 
-        :raises DiskError: the old ones stand.
+        :raises DiskError: the old frames are still in force.
         """
         try:
             self._write_new_file(list(payloads))
