--- a/benchmarks/planted_rollout.py
+++ b/benchmarks/planted_rollout.py
@@ -13,7 +13,7 @@
 from lotusstream.lab.rollout import ChangeScene, Defect, play
 from lotusstream.lab.world import InvariantViolationError, S
 from lotusstream.rollout import rollout as ro
-from lotusstream.rollout.judge import Bet, Judge
+from lotusstream.rollout.judge import BettingTest, RolloutJudge
 from lotusstream.rollout.rollout import Rollout
 
 
@@ -35,8 +35,8 @@
     def hasty(self: Rollout, **changes: Any) -> None:
         entry = msgspec.structs.replace(self.entry, seq=self.entry.seq + 1, **changes)
         self.entry, self._since, self._known = entry, self._now, True
-        if entry.seq % 7 == 0 or entry.phase in ro.OVER:
-            self._out.append(ro.Propose(entry))
+        if entry.seq % 7 == 0 or entry.phase in ro.FINAL_PHASES:
+            self._actions.append(ro.ProposeEntry(entry))
 
     return mock.patch.object(Rollout, "_propose", hasty)
 
@@ -44,31 +44,31 @@
 def _a_look_too_many() -> Any:
     """As if each window were the only one that is looked at: no level that grows with them."""
 
-    def eager(self: Bet, value: float) -> None:
+    def eager(self: BettingTest, value: float) -> None:
         see(self, value)
         if self.sign > 0 and self.count > 2:
             self.best = max(
                 self.best, 4 * max(0.0, (self.mean - self.null) / self.spread**0.5 * self.count**0.5)
             )
 
-    see = Bet.see
-    return mock.patch.object(Bet, "see", eager)
+    see = BettingTest.observe
+    return mock.patch.object(BettingTest, "observe", eager)
 
 
 def _both_sides_blamed() -> Any:
     """Held against what the fleet had before, not against the old ones in the same seconds."""
 
-    def blind(self: Judge, told: Any, signal: str) -> dict[str, float]:
+    def blind(self: RolloutJudge, told: Any, signal: str) -> dict[str, float]:
         found = means(self, told, signal)
         plain = 4.0 if signal == "cpu" else 0.02
         return dict.fromkeys(found, plain)
 
-    means = Judge._old_means
-    return mock.patch.object(Judge, "_old_means", blind)
+    means = RolloutJudge._old_means
+    return mock.patch.object(RolloutJudge, "_old_means", blind)
 
 
 def _the_dead_are_not_counted() -> Any:
-    return mock.patch.object(Judge, "ended", lambda self, is_new, part: self._found())
+    return mock.patch.object(RolloutJudge, "on_process_ended", lambda self, is_new, part: self._found())
 
 
 FAULTS = ChangeScene(fault_every=20 * S, faults=("gateway", "driver", "trouble"))
--- a/lotusstream/lab/rollout.py
+++ b/lotusstream/lab/rollout.py
@@ -9,8 +9,8 @@
 
 from lotusstream.lab.world import MS, Node, S, Span, World
 from lotusstream.rollout import rollout as ro
-from lotusstream.rollout.judge import Bounds, Reading
-from lotusstream.rollout.plan import Plan, Version
+from lotusstream.rollout.judge import JudgeBounds, WindowReading
+from lotusstream.rollout.plan import RolloutPlan, RolloutVersion
 
 WINDOW = 10 * S
 
@@ -29,7 +29,9 @@
 
 
 STAGES = (0.0, 0.25, 1.0)
-PLAN = Plan(1, Version(1, "old"), Version(2, "new", "old"), STAGES, 200 * S, 30 * S, 2, 6, 0.8)
+PLAN = RolloutPlan(
+    1, RolloutVersion(1, "old"), RolloutVersion(2, "new", "old"), STAGES, 200 * S, 30 * S, 2, 6, 0.8
+)
 GOOD = Defect()
 BAD = {  # versions that each change is to be stopped for
     "dies at its start": Defect(starts=False),
@@ -54,7 +56,7 @@
     lease: int = 10 * S
     told_every: int = S
     resume_after: int = 60 * S  # a person looks at what is held
-    plan: Plan = PLAN
+    plan: RolloutPlan = PLAN
     defect: Defect = GOOD
 
 
@@ -87,7 +89,7 @@
         }
         self.driver = Node("driver", self.draw, 0.0)
         self.rollout: ro.Rollout | None = None
-        self.agreed: ro.Entry | None = None
+        self.agreed: ro.RolloutEntry | None = None
         self.trouble: dict[str, tuple[int, float]] = {}
         self.load_until, self.harmed, self.held, self.drivers = 0, 0.0, 0, 0
         self.ended_at = 0
@@ -102,7 +104,7 @@
     def run(self) -> Played:
         self.play()
         entry = self.agreed
-        if entry is None or entry.phase not in ro.OVER:
+        if entry is None or entry.phase not in ro.FINAL_PHASES:
             self.fails(f"not at its end though all faults have ended: {entry}")
             raise AssertionError
         wanted = self.scene.plan.new.hash if entry.phase is ro.Phase.DONE else self.scene.plan.old.hash
@@ -121,44 +123,44 @@
         zones = {each.name: each.zone for each in self.gateways.values()}
         plan = self.scene.plan
         self.drivers += 1
-        self.rollout = ro.Rollout(plan, zones, Bounds.plain(plan.alarms), self.agreed, self.now)
+        self.rollout = ro.Rollout(plan, zones, JudgeBounds.plain(plan.alarms), self.agreed, self.now)
         self._tick()
 
     def _tick(self) -> None:
-        self._drive(ro.Tick())
-        if self.agreed is None or self.agreed.phase not in ro.OVER:
+        self._drive(ro.RolloutTimeAdvanced())
+        if self.agreed is None or self.agreed.phase not in ro.FINAL_PHASES:
             self.after(S, self._on(self.driver, self._tick))
 
     def _drive(self, event: ro.Event) -> None:
         assert self.rollout is not None
         for action in self.rollout.handle(self.now, event):
             match action:
-                case ro.Propose(entry):
+                case ro.ProposeEntry(entry):
                     self.after(self.draw.randint(5 * MS, 50 * MS), self._agreeing(self.rollout, entry))
-                case ro.Change(gateway, version):
+                case ro.ChangeVersion(gateway, version):
                     node = self.gateways[gateway]
                     self._deliver(self.driver, node, self._changing(node, version))
 
-    def _agreeing(self, rollout: ro.Rollout, entry: ro.Entry) -> Callable[[], None]:
+    def _agreeing(self, rollout: ro.Rollout, entry: ro.RolloutEntry) -> Callable[[], None]:
         def agree() -> None:
             good = entry.seq == (self.agreed.seq if self.agreed else 0) + 1
             if good:
                 self.agreed = entry
                 self._looked_at(entry)
             same = self.agreed == entry
-            event: ro.Event = ro.Agreed(entry) if same else ro.NotAgreed(self.agreed)
+            event: ro.Event = ro.EntryCommitted(entry) if same else ro.EntryRejected(self.agreed)
             if rollout is self.rollout and self.driver.up and self.draw.random() > self.scene.loss:
                 self._drive(event)
 
         return agree
 
-    def _looked_at(self, entry: ro.Entry) -> None:
-        if entry.phase in ro.OVER:
+    def _looked_at(self, entry: ro.RolloutEntry) -> None:
+        if entry.phase in ro.FINAL_PHASES:
             self.ended_at = self.now
         if entry.phase is ro.Phase.HELD:
             self.held += 1
             late = self.held > 3
-            event: ro.Event = ro.Abort("held too often") if late else ro.Resume()
+            event: ro.Event = ro.AbortRequested("held too often") if late else ro.ResumeRequested()
             self._by_hand(entry.seq, event)
 
     def _by_hand(self, seq: int, event: ro.Event) -> None:
@@ -212,10 +214,10 @@
 
     def _telling(self, node: GatewayNode) -> Callable[[], None]:
         def tell() -> None:
-            standing = ro.Standing(
+            standing = ro.GatewayStatusReported(
                 node.name, node.version, node.ready_since is not None, node.failed, node.ends
             )
-            if self.agreed is not None and self.agreed.phase in ro.OVER:
+            if self.agreed is not None and self.agreed.phase in ro.FINAL_PHASES:
                 return
             if self.driver.up:
                 self._deliver(node, self.driver, lambda: self._drive(standing))
@@ -225,16 +227,16 @@
 
     def _window(self) -> None:
         self._check()
-        if self.agreed is not None and self.agreed.phase in ro.OVER:
+        if self.agreed is not None and self.agreed.phase in ro.FINAL_PHASES:
             return
         found = [self._reading(each) for each in self.gateways.values() if each.ready_since is not None]
         lost = self.scene.loss if self.now < self.scene.faults_end else 0.0
         told = tuple(each for each in found if self.draw.random() >= lost)
         if self.driver.up:
-            self._drive(ro.Window(told))
+            self._drive(ro.WindowMeasured(told))
         self.after(WINDOW, self._window)
 
-    def _reading(self, node: GatewayNode) -> Reading:
+    def _reading(self, node: GatewayNode) -> WindowReading:
         draw, defect = self.draw, self.scene.defect
         is_new = node.version == self.scene.plan.new.hash
         bad = is_new and (not defect.zone or defect.zone == node.zone)
@@ -255,7 +257,7 @@
         age = (self.now - (node.ready_since or 0)) // WINDOW
         late, refused = share("late", common), share("refused", common / 2)
         broken = int(bad and draw.random() < defect.breaks)
-        return Reading(
+        return WindowReading(
             node.name, node.zone, is_new, age, commands, float(commands), commands * (1 - lost),
             int(late * commands), int(refused * commands), 0, int(cpu), broken,
         )  # fmt: skip
